--- a/tests/platform/asgi_client.py
+++ b/tests/platform/asgi_client.py
@@ -1,4 +1,4 @@
-"""A caller that speaks to an application as hypercorn does."""
+"""Calls an ASGI application in process, as hypercorn does."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 
 
 @dataclass(slots=True)
-class Received:
-    """What the application has sent."""
+class ReceivedResponse:
+    """The response that the application sent; its status is 0 if there was none."""
 
     status: int = 0
     headers: dict[str, str] = field(default_factory=dict)
@@ -24,21 +24,27 @@
     path: str,
     headers: dict[str, str],
     data: str | bytes | list[bytes] = b"",
-    leaves_after_s: float | None = None,
-    is_whole: bool = True,
-) -> Received:
-    """Make one call; a list is a body in parts, and a caller may leave before its answer."""
+    disconnect_after_s: float | None = None,
+    is_complete: bool = True,
+) -> ReceivedResponse:
+    """Send one request; a list is a body in parts, and the client may disconnect early."""
     parts = data if isinstance(data, list) else [data.encode() if isinstance(data, str) else data]
     messages = [
-        {"type": "http.request", "body": part, "more_body": not is_whole or place < len(parts) - 1}
-        for place, part in enumerate(parts)
+        {
+            "type": "http.request",
+            "body": part,
+            "more_body": not is_complete or index < len(parts) - 1,
+        }
+        for index, part in enumerate(parts)
     ]
-    received = Received()
+    received = ReceivedResponse()
 
     async def receive() -> dict[str, Any]:
         if messages:
             return messages.pop(0)
-        await (trio.sleep_forever() if leaves_after_s is None else trio.sleep(leaves_after_s))
+        await (
+            trio.sleep_forever() if disconnect_after_s is None else trio.sleep(disconnect_after_s)
+        )
         return {"type": "http.disconnect"}
 
     async def send(message: dict[str, Any]) -> None:
--- a/tests/platform/test_asgi.py
+++ b/tests/platform/test_asgi.py
@@ -1,4 +1,4 @@
-"""Calls over the application: whole bodies, late and large ones, callers that leave."""
+"""The ASGI application: request bodies, size and time limits, client disconnects."""
 
 import json
 
@@ -6,10 +6,10 @@
 import trio
 from heronthread_emulator import captured_events
 from heronthread_platform.asgi import (
-    Answer,
+    BodyTimeout,
     BodyTooLarge,
-    BodyTooLate,
-    Call,
+    Request,
+    Response,
     make_application,
 )
 
@@ -18,17 +18,21 @@
 Clock = trio.testing.MockClock
 
 
-async def _echo(call: Call) -> Answer:
+async def _echo_body(request: Request) -> Response:
     try:
-        return Answer(200, await call.read_body(10, 3.0), "text/plain", {"Connection": "close"})
+        return Response(
+            200, await request.read_body(10, 3.0), "text/plain", {"Connection": "close"}
+        )
     except BodyTooLarge:
-        return Answer(413)
-    except BodyTooLate:
-        return Answer(408)
+        return Response(413)
+    except BodyTimeout:
+        return Response(408)
 
 
-async def test_a_body_in_parts_is_read_whole(autojump_clock: Clock) -> None:
-    received = await call_app(make_application(_echo), "POST", "/", {}, data=[b"ab", b"", b"cd"])
+async def test_body_sent_in_parts_is_joined(autojump_clock: Clock) -> None:
+    received = await call_app(
+        make_application(_echo_body), "POST", "/", {}, data=[b"ab", b"", b"cd"]
+    )
     assert (received.status, received.body) == (200, b"abcd")
     assert received.headers == {
         "content-type": "text/plain",
@@ -38,7 +42,7 @@
 
 
 @pytest.mark.parametrize(
-    ("headers", "data", "is_whole", "status"),
+    ("headers", "data", "is_complete", "status"),
     [
         ({"Content-Length": "11"}, b"", False, 413),
         ({}, [b"123456", b"789012"], False, 413),
@@ -46,32 +50,32 @@
         ({}, b"1234", False, 408),
     ],
 )
-async def test_large_and_late_bodies(
-    headers: dict[str, str], data: bytes, is_whole: bool, status: int, autojump_clock: Clock
+async def test_oversized_and_late_bodies_are_rejected(
+    headers: dict[str, str], data: bytes, is_complete: bool, status: int, autojump_clock: Clock
 ) -> None:
-    app = make_application(_echo)
-    received = await call_app(app, "POST", "/", headers, data=data, is_whole=is_whole)
+    app = make_application(_echo_body)
+    received = await call_app(app, "POST", "/", headers, data=data, is_complete=is_complete)
     assert received.status == status
 
 
-async def test_a_caller_that_leaves_ends_its_call(autojump_clock: Clock) -> None:
+async def test_disconnect_cancels_the_request(autojump_clock: Clock) -> None:
     ended: list[float] = []
 
-    async def wait(call: Call) -> Answer:
+    async def wait(request: Request) -> Response:
         try:
             await trio.sleep(60.0)
         finally:
             ended.append(trio.current_time())
-        return Answer(200)
+        return Response(200)
 
-    began = trio.current_time()
-    received = await call_app(make_application(wait), "GET", "/", {}, leaves_after_s=1.0)
+    started_at = trio.current_time()
+    received = await call_app(make_application(wait), "GET", "/", {}, disconnect_after_s=1.0)
     assert received.status == 0
-    assert ended == [pytest.approx(began + 1.0)]
+    assert ended == [pytest.approx(started_at + 1.0)]
 
 
-async def test_an_error_costs_its_own_call_and_is_told(autojump_clock: Clock) -> None:
-    async def fail(call: Call) -> Answer:
+async def test_exception_returns_500_and_is_logged(autojump_clock: Clock) -> None:
+    async def fail(request: Request) -> Response:
         raise RuntimeError("broken")
 
     with captured_events() as events:
@@ -81,15 +85,15 @@
     assert [event["error"] for event in events] == ["RuntimeError('broken')"]
 
 
-async def test_start_and_end_of_the_server_are_answered() -> None:
-    told = [{"type": "lifespan.startup"}, {"type": "lifespan.shutdown"}]
+async def test_lifespan_messages_are_acknowledged() -> None:
+    messages = [{"type": "lifespan.startup"}, {"type": "lifespan.shutdown"}]
     sent = []
 
     async def receive() -> dict[str, object]:
-        return told.pop(0)
+        return messages.pop(0)
 
     async def send(message: dict[str, object]) -> None:
         sent.append(message["type"])
 
-    await make_application(_echo)({"type": "lifespan"}, receive, send)
+    await make_application(_echo_body)({"type": "lifespan"}, receive, send)
     assert sent == ["lifespan.startup.complete", "lifespan.shutdown.complete"]
--- a/tests/platform/test_callers.py
+++ b/tests/platform/test_callers.py
@@ -1,4 +1,4 @@
-"""Callers' calls over the application itself: each bad one gets its own status and reason."""
+"""The HTTP API for callers: job submission, and the status and reason of invalid requests."""
 
 import json
 import math
@@ -30,29 +30,29 @@
         host.configuration.state = _state()
         self.app = make_app(host)
 
-    async def ask(self, method: str, path: str = PATH, **more: Any) -> tuple[int, Any]:
+    async def send(self, method: str, path: str = PATH, **more: Any) -> tuple[int, Any]:
         headers = more.pop("headers", HEADERS)
         response = await call_app(self.app, method, path, headers, **more)
         return response.status, json.loads(response.body)
 
 
-async def _open(site: EmulatedSite) -> _Client:
+async def _open_client(site: EmulatedSite) -> _Client:
     await site.wait_for_owner()
     await trio.sleep(1.0)
     return _Client(site)
 
 
-async def test_life_of_a_job(autojump_clock: trio.testing.MockClock) -> None:
+async def test_job_is_submitted_read_and_cancelled(autojump_clock: trio.testing.MockClock) -> None:
     async with EmulatedSite.open(hosts=2) as site:
-        client = await _open(site)
-        assert await client.ask("GET") == (410, {"error": "there is no such job"})
-        assert (await client.ask("POST", data=json.dumps(JOB)))[0] == 200
-        assert (await client.ask("POST", data=json.dumps(JOB)))[0] == 200
-        assert (await client.ask("GET"))[0] == 200
-        assert (await client.ask("GET", "/q/"))[0] == 200
-        assert (await client.ask("DELETE"))[0] == 200
+        client = await _open_client(site)
+        assert await client.send("GET") == (410, {"error": "there is no such job"})
+        assert (await client.send("POST", data=json.dumps(JOB)))[0] == 200
+        assert (await client.send("POST", data=json.dumps(JOB)))[0] == 200
+        assert (await client.send("GET"))[0] == 200
+        assert (await client.send("GET", "/q/"))[0] == 200
+        assert (await client.send("DELETE"))[0] == 200
         await trio.sleep(1.0)
-        assert await client.ask("GET") == (200, {"state": "cancelled"})
+        assert await client.send("GET") == (200, {"state": "cancelled"})
 
 
 @pytest.mark.parametrize(
@@ -78,44 +78,46 @@
         ({"method": "PUT"}, 405, "PUT"),
     ],
 )
-async def test_bad_calls_say_why(
+async def test_invalid_requests_return_status_and_reason(
     change: dict[str, Any], status: int, reason: str, autojump_clock: trio.testing.MockClock
 ) -> None:
     async with EmulatedSite.open(hosts=1) as site:
-        client = await _open(site)
-        call = {"method": "POST", "path": PATH, "data": json.dumps(JOB), **change}
-        got, body = await client.ask(call.pop("method"), call.pop("path"), **call)
-        assert got == status
+        client = await _open_client(site)
+        request = {"method": "POST", "path": PATH, "data": json.dumps(JOB), **change}
+        actual_status, body = await client.send(
+            request.pop("method"), request.pop("path"), **request
+        )
+        assert actual_status == status
         assert reason in body["error"]
         assert site.executors.starts() == []
 
 
-async def test_job_with_times_is_not_begun_early(autojump_clock: trio.testing.MockClock) -> None:
+async def test_scheduled_job_does_not_start_early(autojump_clock: trio.testing.MockClock) -> None:
     async with EmulatedSite.open(hosts=1) as site:
-        client = await _open(site)
+        client = await _open_client(site)
         start_at_ms = int((trio.current_time() + 3.0) * 1000)
         job = {**JOB, "repeat-count": 2, "start-at-ms": start_at_ms, "interval-ms": 1500}
-        assert (await client.ask("POST", data=json.dumps(job)))[0] == 200
+        assert (await client.send("POST", data=json.dumps(job)))[0] == 200
         await trio.sleep(2.9)
         assert site.executors.starts() == []
         await trio.sleep(2.0)
         assert [start.task.occurrence for start in site.executors.starts()] == [0, 1]
 
 
-async def test_job_of_another_tenant_is_not_there(
+async def test_job_of_another_tenant_is_not_visible(
     autojump_clock: trio.testing.MockClock,
 ) -> None:
     async with EmulatedSite.open(hosts=1) as site:
-        client = await _open(site)
-        assert (await client.ask("POST", data=json.dumps(JOB)))[0] == 200
+        client = await _open_client(site)
+        assert (await client.send("POST", data=json.dumps(JOB)))[0] == 200
         other = {**HEADERS, "Authorization": "Bearer key-2"}
-        assert (await client.ask("GET", headers=other))[0] == 410
-        assert (await client.ask("DELETE", headers=other))[0] == 410
+        assert (await client.send("GET", headers=other))[0] == 410
+        assert (await client.send("DELETE", headers=other))[0] == 410
 
 
-async def test_refusal_says_when_to_come_back(autojump_clock: trio.testing.MockClock) -> None:
+async def test_503_has_retry_after_header(autojump_clock: trio.testing.MockClock) -> None:
     async with EmulatedSite.open(hosts=2) as site:
-        client = await _open(site)
+        client = await _open_client(site)
         site.store.is_down = True
         await trio.sleep(2.0)
         response = await call_app(client.app, "POST", PATH, HEADERS, data=json.dumps(JOB))
