--- a/tests/platform/peer_server.py
+++ b/tests/platform/scripted_server.py
@@ -1,4 +1,4 @@
-"""A small HTTP server over loopback that answers with what a test queued."""
+"""An HTTP server on the loopback interface whose responses a test defines."""
 
 from __future__ import annotations
 
@@ -13,28 +13,28 @@
 
 
 @dataclass(slots=True)
-class Call:
+class ReceivedRequest:
     method: str
     target: str
     headers: dict[str, str]
     body: Any
 
 
-Answer = Callable[[Call], tuple[int, Any] | None]
+Responder = Callable[[ReceivedRequest], tuple[int, Any] | None]
 
 
 @dataclass(slots=True)
 class ScriptedServer:
-    """Answers each call with `answer`; None closes the connection without an answer."""
+    """Sends the result of `respond`; None closes the connection without a response."""
 
-    answer: Answer
+    respond: Responder
     address: str = ""
-    calls: list[Call] = field(default_factory=list)
+    requests: list[ReceivedRequest] = field(default_factory=list)
 
     async def serve(self, stream: trio.SocketStream) -> None:
         connection = h11.Connection(h11.SERVER)
         body = b""
-        call: Call | None = None
+        request: ReceivedRequest | None = None
         async with stream:
             while True:
                 event = connection.next_event()
@@ -42,26 +42,28 @@
                     connection.receive_data(await stream.receive_some(65536))
                 elif isinstance(event, h11.Request):
                     headers = {k.decode().lower(): v.decode() for k, v in event.headers}
-                    call = Call(event.method.decode(), event.target.decode(), headers, None)
+                    request = ReceivedRequest(
+                        event.method.decode(), event.target.decode(), headers, None
+                    )
                     body = b""
                 elif isinstance(event, h11.Data):
                     body += bytes(event.data)
                 elif isinstance(event, h11.EndOfMessage):
-                    assert call is not None
-                    call.body = json.loads(body) if body else None
-                    self.calls.append(call)
-                    if not await self._reply(stream, connection, call):
+                    assert request is not None
+                    request.body = json.loads(body) if body else None
+                    self.requests.append(request)
+                    if not await self._send_response(stream, connection, request):
                         return
                 else:
                     return
 
-    async def _reply(
-        self, stream: trio.SocketStream, connection: h11.Connection, call: Call
+    async def _send_response(
+        self, stream: trio.SocketStream, connection: h11.Connection, request: ReceivedRequest
     ) -> bool:
-        answer = self.answer(call)
-        if answer is None:
+        respond = self.respond(request)
+        if respond is None:
             return False
-        status, value = answer
+        status, value = respond
         data = json.dumps(value).encode()
         headers = [("Content-Length", str(len(data)))]
         sent = connection.send(h11.Response(status_code=status, headers=headers)) or b""
@@ -73,8 +75,8 @@
 
 
 @asynccontextmanager
-async def scripted(answer: Answer) -> AsyncIterator[ScriptedServer]:
-    server = ScriptedServer(answer)
+async def run_scripted_server(respond: Responder) -> AsyncIterator[ScriptedServer]:
+    server = ScriptedServer(respond)
     async with trio.open_nursery() as nursery:
         listeners = await trio.open_tcp_listeners(0, host="127.0.0.1")
         port = listeners[0].socket.getsockname()[1]
--- a/tests/platform/test_advice.py
+++ b/tests/platform/test_approver.py
@@ -3,10 +3,10 @@
 from heronthread_dispatch.executor_link import Unanswered
 from heronthread_dispatch.http_client import HttpClient
 from heronthread_dispatch.model import ApprovalTerms, Life, TaskKey
-from heronthread_platform.advice import PlatformAdvice
+from heronthread_platform.approver import PlatformApprover
 from heronthread_platform.configuration import ConfigurationReader
 
-from .peer_server import Call, scripted
+from .scripted_server import ReceivedRequest, run_scripted_server
 
 QUESTION = Question(
     TaskKey("5c0e7a21d94b36f8", 1, 0, 3),
@@ -15,27 +15,27 @@
 )
 
 
-async def test_question_is_spelled_as_the_protocol_says() -> None:
-    def answer(call: Call) -> tuple[int, object]:
+async def test_request_follows_the_protocol() -> None:
+    def respond(request: ReceivedRequest) -> tuple[int, object]:
         return 200, {"healthy": [["i-2", "t-9"]]}
 
-    async with scripted(answer) as server:
+    async with run_scripted_server(respond) as server:
         with HttpClient() as client:
-            found = await PlatformAdvice(client, server.address).ask(QUESTION)
+            found = await PlatformApprover(client, server.address).ask(QUESTION)
     assert found == Approved({"i-2": "t-9"})
-    assert (server.calls[0].method, server.calls[0].target) == ("POST", "/heronthread/advise")
-    assert server.calls[0].body == {"step": "5c0e7a21d94b36f8.3.1", "workers": ["i-1", "i-2"]}
+    assert (server.requests[0].method, server.requests[0].target) == ("POST", "/heronthread/advise")
+    assert server.requests[0].body == {"step": "5c0e7a21d94b36f8.3.1", "workers": ["i-1", "i-2"]}
 
 
 @pytest.mark.parametrize("reply", [(429, {}), (200, {}), (200, [1]), (200, {"healthy": [1]}), None])
-async def test_anything_else_is_no_answer(reply: tuple[int, object] | None) -> None:
-    async with scripted(lambda call: reply) as server:
+async def test_invalid_or_missing_response_is_unanswered(reply: tuple[int, object] | None) -> None:
+    async with run_scripted_server(lambda request: reply) as server:
         with HttpClient() as client:
-            found = await PlatformAdvice(client, server.address).ask(QUESTION)
+            found = await PlatformApprover(client, server.address).ask(QUESTION)
     assert isinstance(found, Unanswered)
 
 
-def test_terms_are_read_from_the_configuration() -> None:
+def test_approval_terms_are_read_from_the_configuration() -> None:
     route = b'{"name":"r","host":"h","path-prefix":"/r/","service":"s","advice":%s}'
     advice = b'{"decision-ms":200,"per-item-ms":2,"validity-ms":4000}'
     state = ConfigurationReader().parse(b'{"version":3,"routes":[%s]}' % (route % advice))
--- a/tests/platform/test_configuration.py
+++ b/tests/platform/test_configuration.py
@@ -1,4 +1,4 @@
-"""Reading the operator's configuration: what changed is read, what didn't is kept."""
+"""Parsing the operator's configuration, and reuse of unchanged routes."""
 
 import orjson
 from heronthread_dispatch.model import DesiredState, Queue
@@ -25,7 +25,7 @@
     return orjson.dumps({"version": version, "routes": routes})
 
 
-def test_routes_that_did_not_change_are_kept_as_they_were_read() -> None:
+def test_unchanged_routes_are_not_parsed_again() -> None:
     reader = ConfigurationReader()
     first = reader.parse(_encode(1, [_route(0), _route(1), _route(2)]))
     second = reader.parse(_encode(2, [_route(0), _route(1, priority=0), _route(3)]))
@@ -35,7 +35,7 @@
     assert second.by_name["r-1"].priority == 0
 
 
-def test_a_route_that_is_wrong_spoils_its_version_and_nothing_else() -> None:
+def test_invalid_route_rejects_only_its_version() -> None:
     reader = ConfigurationReader()
     assert reader.parse(_encode(1, [_route(0)])) is not None
     assert reader.parse(_encode(2, [_route(0), _route(1, priority="high")])) is None
@@ -43,16 +43,16 @@
     assert third is not None and len(third.queues) == 2
 
 
-def _find_by_looking_at_all(state: DesiredState, host: str, path: str) -> Queue | None:
-    fitting = [q for q in state.queues if q.host == host and path.startswith(q.prefix)]
-    return max(fitting, key=lambda queue: len(queue.prefix), default=None)
+def _find_queue_by_full_scan(state: DesiredState, host: str, path: str) -> Queue | None:
+    matching = [q for q in state.queues if q.host == host and path.startswith(q.prefix)]
+    return max(matching, key=lambda queue: len(queue.prefix), default=None)
 
 
 _PATHS = st.text(alphabet="/ab", max_size=6).map(lambda text: f"/{text}")
 
 
 @given(st.lists(st.tuples(st.sampled_from("xy"), _PATHS), max_size=12), st.lists(_PATHS))
-def test_the_longest_prefix_is_found_as_by_looking_at_all(
+def test_longest_matching_prefix_is_found(
     prefixes: list[tuple[str, str]], paths: list[str]
 ) -> None:
     queues = [
@@ -62,11 +62,11 @@
     state = DesiredState.build(1, queues, [], 1)
     for host in ("x", "y", "z"):
         for path in paths:
-            assert state.find_queue(host, path) == _find_by_looking_at_all(state, host, path)
+            assert state.find_queue(host, path) == _find_queue_by_full_scan(state, host, path)
 
 
-def test_one_watch_follows_configuration_and_evacuations() -> None:
-    wishes = make_configuration_format()
-    assert wishes.key.startswith(wishes.prefix)
-    assert wishes.evacuations.startswith(wishes.prefix)
-    assert wishes.prefix == "op/"
+def test_configuration_and_evacuations_share_a_watched_prefix() -> None:
+    configuration_format = make_configuration_format()
+    assert configuration_format.key.startswith(configuration_format.prefix)
+    assert configuration_format.evacuations.startswith(configuration_format.prefix)
+    assert configuration_format.prefix == "op/"
--- a/tests/platform/test_early_signals.py
+++ b/tests/platform/test_early_signals.py
@@ -1,4 +1,4 @@
-"""A host that is told of changed settings before it has started goes on starting."""
+"""SIGHUP during startup, before the signal handlers of the process are installed."""
 
 import os
 import signal
@@ -6,16 +6,13 @@
 import sys
 from pathlib import Path
 
-from heronthread_platform.entry import EXIT_BAD_SETTINGS
+from heronthread_platform.process import EXIT_BAD_SETTINGS
 
 MAIN = Path(__file__).parents[2] / "platform" / "main.py"
 
 
-def test_hang_up_while_starting_ends_no_host(tmp_path: Path) -> None:
-    """A soak's host ended by SIGHUP (-1) that came before its handler was there.
-
-    Its settings are a pipe here, so that it waits in its start until they are written.
-    """
+def test_sighup_during_startup_does_not_end_the_process(tmp_path: Path) -> None:
+    """SIGHUP must not end a starting process; its settings are a pipe, which delays the start."""
     path = tmp_path / "settings.json"
     os.mkfifo(path)
     environment = os.environ | {"HERONTHREAD_NODE_FILE": str(path)}
--- a/tests/platform/test_entries.py
+++ b/tests/platform/test_entries.py
@@ -1,4 +1,4 @@
-"""Entries from another writer: none of them names an executor to use, and none ends a reader."""
+"""Parsing of executor entries: invalid ones are rejected with a fault, and never raise."""
 
 import json
 from dataclasses import replace
@@ -19,7 +19,7 @@
 )
 GOOD = spelling.write_entry(EXECUTOR, 7)
 FOREIGN = spelling.write_foreign_entries(EXECUTOR, 7)
-FIXED = settings(derandomize=True, max_examples=300, deadline=None)
+DETERMINISTIC = settings(derandomize=True, max_examples=300, deadline=None)
 VALUES = st.recursive(
     st.none() | st.booleans() | st.integers(-(2**70), 2**70) | st.floats() | st.text(max_size=8),
     lambda inner: st.lists(inner, max_size=4) | st.dictionaries(st.text(max_size=6), inner),
@@ -31,25 +31,25 @@
     return EntryReader(DOMAINS).parse("i-1", data)
 
 
-def test_a_good_entry_names_its_executor() -> None:
+def test_valid_entry_is_parsed() -> None:
     assert _parse(GOOD) == EXECUTOR
 
 
-OF_THE_DIRECTORY = ("service 'nobody'", "without born")
-"""What an entry alone can't tell: the configuration names services, and executors their lives."""
+CHECKED_BY_THE_DIRECTORY = ("service 'nobody'", "without born")
+"""Valid by themselves: the directory checks services and start times of executors."""
 
 
-@pytest.mark.parametrize("name", [name for name in FOREIGN if name not in OF_THE_DIRECTORY])
-def test_no_foreign_entry_names_an_executor(name: str) -> None:
+@pytest.mark.parametrize("name", [name for name in FOREIGN if name not in CHECKED_BY_THE_DIRECTORY])
+def test_foreign_entry_is_rejected(name: str) -> None:
     assert isinstance(_parse(FOREIGN[name]), BadEntry)
 
 
-def test_an_entry_without_a_start_names_no_life() -> None:
+def test_entry_without_born_has_start_time_zero() -> None:
     found = _parse(FOREIGN["without born"])
     assert isinstance(found, Executor) and found.life == ("i-1", 0)
 
 
-def test_a_service_that_is_not_named_is_the_configurations_to_judge() -> None:
+def test_unknown_service_is_left_to_the_configuration() -> None:
     found = _parse(FOREIGN["service 'nobody'"])
     assert isinstance(found, Executor) and found.pool == "nobody"
 
@@ -73,38 +73,38 @@
         ("state 'draining'", BadEntry(EntryFault.MISSING_FIELD, "remaining-ms")),
     ],
 )
-def test_a_bad_entry_tells_its_reason(name: str, expected: BadEntry) -> None:
+def test_invalid_entry_has_its_fault(name: str, expected: BadEntry) -> None:
     assert _parse(FOREIGN[name]) == expected
 
 
 @pytest.mark.parametrize("executor_id", ["", "i-1/more"])
-def test_a_key_that_is_no_id_names_no_executor(executor_id: str) -> None:
+def test_invalid_executor_id_is_rejected(executor_id: str) -> None:
     found = EntryReader(DOMAINS).parse(executor_id, GOOD)
     assert found == BadEntry(EntryFault.WRONG_VALUE, "id")
 
 
-def test_fields_beyond_those_named_are_passed_over() -> None:
+def test_unknown_fields_are_ignored() -> None:
     value = json.loads(GOOD) | {"machine": "m-1", "newer": {"more": [1]}}
     assert _parse(json.dumps(value).encode()) == EXECUTOR
 
 
-def test_without_named_domains_none_is_unknown() -> None:
+def test_any_domain_is_accepted_if_none_is_configured() -> None:
     found = EntryReader().parse("i-1", FOREIGN["zone 'nowhere'"])
     assert isinstance(found, Executor) and found.zone == "nowhere"
 
 
-@FIXED
+@DETERMINISTIC
 @given(st.sampled_from(sorted(json.loads(GOOD))), VALUES)
-def test_a_good_entry_with_any_other_value_is_read_or_refused(field: str, value: Any) -> None:
+def test_entry_with_any_field_value_is_parsed_or_rejected(field: str, value: Any) -> None:
     found = _parse(json.dumps(json.loads(GOOD) | {field: value}).encode())
     assert isinstance(found, Executor | BadEntry)
     if isinstance(found, Executor):
         assert type(value) is type(json.loads(GOOD)[field]) or isinstance(value, float)
 
 
-@FIXED
+@DETERMINISTIC
 @given(st.integers(0, len(GOOD) - 1), st.binary(max_size=3))
-def test_any_changed_bytes_are_read_or_refused(at: int, put: bytes) -> None:
+def test_entry_with_corrupted_bytes_is_parsed_or_rejected(at: int, put: bytes) -> None:
     assert isinstance(_parse(GOOD[:at] + put + GOOD[at + 1 :]), Executor | BadEntry)
 
 
@@ -121,11 +121,11 @@
         [1, 2, 3],
     ],
 )
-def test_entry_without_a_sound_capacity_is_none(capacity: object) -> None:
+def test_entry_with_invalid_capacity_is_rejected(capacity: object) -> None:
     value = json.loads(GOOD) | {"capacity": capacity}
     assert isinstance(_parse(json.dumps(value).encode()), BadEntry)
 
 
-def test_entry_of_a_draining_executor() -> None:
+def test_draining_executor_has_remaining_time() -> None:
     value = json.loads(GOOD) | {"state": "draining", "remaining-ms": 1500}
     assert _parse(json.dumps(value).encode()) == replace(EXECUTOR, leaves_in_s=1.5)
--- a/tests/platform/test_executors.py
+++ b/tests/platform/test_executors.py
@@ -16,7 +16,7 @@
 from heronthread_dispatch.model import Executor, Resources, TaskKey
 from heronthread_platform.executors import PlatformExecutors
 
-from .peer_server import Call, scripted
+from .scripted_server import ReceivedRequest, run_scripted_server
 
 TASK = TaskKey("5c0e7a21d94b36f8", 1, 17)
 
@@ -25,38 +25,38 @@
     return Executor("i-1", address, "pool", "zone", "r1", (), Resources(1, 1, 1))
 
 
-async def test_task_of_a_later_time_is_named_by_it() -> None:
+async def test_task_name_contains_its_occurrence() -> None:
     name = "5c0e7a21d94b36f8.3.1.17"
 
-    def answer(call: Call) -> tuple[int, object]:
-        assert call.body["task"] == name
+    def respond(request: ReceivedRequest) -> tuple[int, object]:
+        assert request.body["task"] == name
         return 200, {"clock-ms": 5, "running": [[name, 2, "", 41]]}
 
-    async with scripted(answer) as server:
+    async with run_scripted_server(respond) as server:
         with HttpClient() as client:
             link = PlatformExecutors(client)
             executor, task = _executor(server.address), TASK._replace(occurrence=3)
             assert await link.stop(executor, StopOrder(task, 2, 7)) == Obeyed()
         with HttpClient() as client:
-            server.answer = lambda call: (200, {"clock-ms": 5, "running": [[name, 2, "", 41]]})
+            server.respond = lambda request: (200, {"clock-ms": 5, "running": [[name, 2, "", 41]]})
             report = await PlatformExecutors(client).hold(executor, HoldOrder(7, 0, None, 0.0))
             assert isinstance(report, Report)
             assert report.running[0].task == task
 
 
-async def test_start_is_spelled_as_the_protocol_says() -> None:
-    def answer(call: Call) -> tuple[int, object]:
+async def test_start_request_follows_the_protocol() -> None:
+    def respond(request: ReceivedRequest) -> tuple[int, object]:
         return 200, {"clock-ms": 5}
 
-    async with scripted(answer) as server:
+    async with run_scripted_server(respond) as server:
         with HttpClient() as client:
             link = PlatformExecutors(client)
             order = StartOrder(TASK, 2, "text", "00ff", 7, 486000)
             assert await link.start(_executor(server.address), order) == Obeyed()
-        call = server.calls[0]
-        assert (call.method, call.target) == ("POST", "/heronthread/run-start")
-        assert call.headers["expected-instance"] == "i-1"
-        assert call.body == {
+        request = server.requests[0]
+        assert (request.method, request.target) == ("POST", "/heronthread/run-start")
+        assert request.headers["expected-instance"] == "i-1"
+        assert request.body == {
             "task": "5c0e7a21d94b36f8.0.1.17",
             "run": 2,
             "spec": "text",
@@ -80,15 +80,17 @@
         (503, {}, Unhealthy()),
     ],
 )
-async def test_refusals(status: int, body: object, expected: object) -> None:
-    async with scripted(lambda call: (status, body)) as server:
+async def test_error_statuses_are_mapped_to_outcomes(
+    status: int, body: object, expected: object
+) -> None:
+    async with run_scripted_server(lambda request: (status, body)) as server:
         with HttpClient() as client:
             link = PlatformExecutors(client)
             assert await link.stop(_executor(server.address), StopOrder(TASK, 2, 7)) == expected
 
 
-async def test_lost_answer_is_doubt() -> None:
-    async with scripted(lambda call: None) as server:
+async def test_lost_response_is_unanswered() -> None:
+    async with run_scripted_server(lambda request: None) as server:
         with HttpClient() as client:
             link = PlatformExecutors(client)
             outcome = await link.stop(_executor(server.address), StopOrder(TASK, 2, 7))
@@ -96,17 +98,17 @@
             assert not outcome.unsent
 
 
-async def test_hold_reads_both_lists() -> None:
+async def test_hold_parses_running_and_ended_runs() -> None:
     body = {
         "clock-ms": 482113,
         "running": [["5c0e7a21d94b36f8.0.1.17", 2, "00ff", 41, 3]],
         "ended-at": [[58, "5c0e7a21d94b36f8.0.1.9", 1, "done", ""]],
     }
-    async with scripted(lambda call: (200, body)) as server:
+    async with run_scripted_server(lambda request: (200, body)) as server:
         with HttpClient() as client:
             link = PlatformExecutors(client)
             report = await link.hold(_executor(server.address), HoldOrder(7, 57, None, 0.0))
-        assert server.calls[0].body == {"fencing-token": 7, "last-seen": 57}
+        assert server.requests[0].body == {"fencing-token": 7, "last-seen": 57}
     assert isinstance(report, Report)
     assert report.running[0].task == TASK
     assert report.running[0].checkpoint == "00ff"
@@ -114,7 +116,7 @@
     assert report.ended[0].task == TaskKey("5c0e7a21d94b36f8", 1, 9)
 
 
-async def test_report_says_which_life_it_is_of() -> None:
+async def test_report_has_the_executor_start_time() -> None:
     bodies: list[dict[str, object]] = [
         {"clock-ms": 5, "born": 1796236330914},
         {"clock-ms": 5},
@@ -124,7 +126,7 @@
         {"clock-ms": 5, "born": None},
     ]
     found = []
-    async with scripted(lambda call: (200, bodies[len(found)])) as server:
+    async with run_scripted_server(lambda request: (200, bodies[len(found)])) as server:
         with HttpClient() as client:
             for _ in bodies:
                 order = HoldOrder(7, 0, None, 0.0)
--- a/tests/platform/test_fuzz.py
+++ b/tests/platform/test_fuzz.py
@@ -1,4 +1,4 @@
-"""Whatever callers, operators, executors and the store send: an answer or a refusal, no crash."""
+"""Fuzz tests: no input of callers, operators, executors or the store raises."""
 
 import json
 from typing import Any
@@ -55,11 +55,11 @@
         for name in ("service", "address", "zone", "state", "labels", "remaining-ms", "capacity")
     },
 )
-FIXED = settings(derandomize=True, max_examples=150, deadline=None)
+DETERMINISTIC = settings(derandomize=True, max_examples=150, deadline=None)
 
 
 class _FixedClient(HttpClient):
-    """Answers every call with one reply."""
+    """Returns the same reply to every request."""
 
     def __init__(self, status: int, body: bytes) -> None:
         super().__init__()
@@ -73,16 +73,16 @@
     return json.dumps(value).encode()
 
 
-@FIXED
+@DETERMINISTIC
 @given(JOB | VALUES)
-def test_any_body_is_a_job_or_a_reason(value: object) -> None:
+def test_any_json_body_is_parsed_or_rejected(value: object) -> None:
     found = read_job_body(_encode(value))
     assert isinstance(found, str | JobBody)
 
 
-@FIXED
+@DETERMINISTIC
 @given(st.binary(max_size=40))
-def test_any_bytes_are_a_reason(data: bytes) -> None:
+def test_any_bytes_are_parsed_or_rejected(data: bytes) -> None:
     assert isinstance(read_job_body(data), str | JobBody)
     assert ConfigurationReader().parse(data) is None or isinstance(
         ConfigurationReader().parse(data), DesiredState
@@ -90,32 +90,32 @@
     assert isinstance(EntryReader().parse("i-1", data), BadEntry)
 
 
-@FIXED
+@DETERMINISTIC
 @given(CONFIG | VALUES)
-def test_any_configuration_is_in_force_or_invalid(value: object) -> None:
+def test_any_configuration_is_parsed_or_rejected(value: object) -> None:
     found = ConfigurationReader().parse(_encode(value))
     assert found is None or isinstance(found, DesiredState)
 
 
-@FIXED
+@DETERMINISTIC
 @given(ENTRY | VALUES)
-def test_any_entry_is_an_executor_or_a_reason(value: object) -> None:
+def test_any_entry_is_parsed_or_rejected(value: object) -> None:
     found = EntryReader().parse("i-1", _encode(value))
     assert isinstance(found, Executor | BadEntry)
 
 
-@FIXED
+@DETERMINISTIC
 @given(st.sampled_from([200, 400, 404, 409, 410, 412, 421, 429, 500, 503]), VALUES)
-def test_any_answer_of_an_executor_has_an_outcome(status: int, value: object) -> None:
+def test_any_executor_response_has_an_outcome(status: int, value: object) -> None:
     link = PlatformExecutors(_FixedClient(status, _encode(value)))
     executor = Executor("i-1", "a", "p", "", "", (), Resources())
     outcome = trio.run(link.hold, executor, HoldOrder(1, 0, None, 0.0))
     assert isinstance(outcome, Report | Refused | Unhealthy | OtherLife | Unanswered | Obeyed)
 
 
-@FIXED
+@DETERMINISTIC
 @given(st.sampled_from([200, 400, 404, 410, 412, 429, 500, 503]), VALUES)
-def test_any_answer_of_the_store_has_an_outcome(status: int, value: object) -> None:
+def test_any_store_response_has_an_outcome(status: int, value: object) -> None:
     store = PlatformStore(_FixedClient(status, _encode(value)), "a")
 
     async def ask() -> None:
--- a/tests/platform/test_settings.py
+++ b/tests/platform/test_settings.py
@@ -25,7 +25,7 @@
     assert set(re.findall(r'"(\w+)":', template)) <= set(ProcessSettings.model_fields)
 
 
-def test_unknown_fields_are_passed_over_and_seeds_get_the_peers_port() -> None:
+def test_unknown_fields_are_ignored_and_seeds_use_the_peer_port() -> None:
     text = json.dumps({**FIELDS, "new": 1, "seeds": ["10.0.0.2:9000"]})
     settings = ProcessSettings.model_validate_json(text).to_host_settings()
     assert settings.seeds == ("10.0.0.2:7000",)
@@ -40,15 +40,15 @@
         ProcessSettings.model_validate_json(json.dumps({**FIELDS, field: value}))
 
 
-def test_every_field_is_on_its_page() -> None:
+def test_every_field_is_documented() -> None:
     page = (ROOT / "docs" / "platform-settings.md").read_text()
     assert [name for name in ProcessSettings.model_fields if f"`{name}`" not in page] == []
 
 
-def test_the_program_imports_no_more_than_it_uses() -> None:
-    """A start is paid for by a small host: the first stack and its client are not in it."""
+def test_process_does_not_import_unused_packages() -> None:
+    """Unused imports would cost start time and memory on small hosts."""
     code = (
-        "import sys, heronthread_platform.entry;"
+        "import sys, heronthread_platform.process;"
         "print([n for n in ('httpx', 'quart', 'heronthread_scheduling') if n in sys.modules])"
     )
     sources = [ROOT / "platform", *sorted(ROOT.glob("packages/*/src"))]
