--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -1,4 +1,4 @@
-"""Product code imports downwards only: no circle of modules, and packages in one order."""
+"""Imports have no cycles, and packages depend only on those in lower layers."""
 
 import ast
 import tomllib
@@ -11,7 +11,7 @@
 ROOT = Path(__file__).resolve().parent.parent
 PACKAGES = sorted((ROOT / "packages").iterdir())
 SOURCES = [*(package / "src" for package in PACKAGES), ROOT / "platform"]
-MAY_IMPORT = {
+ALLOWED_IMPORTS = {
     "heronthread_coordination": set(),
     "heronthread_scheduling": set(),
     "heronthread_dispatch": {"heronthread_coordination"},
@@ -43,22 +43,22 @@
 MODULES = {name: path for source in SOURCES for name, path in find_modules(source).items()}
 
 
-def resolve(module: str, is_package: bool, node: ast.ImportFrom) -> str:
-    """Return the absolute name of what an import statement names."""
+def resolve_module(module: str, is_package: bool, node: ast.ImportFrom) -> str:
+    """Return the absolute module name of an import statement."""
     if not node.level:
         return node.module or ""
     parts = module.split(".")
-    kept = parts[: len(parts) - node.level + is_package]
-    return ".".join([*kept, *([node.module] if node.module else [])])
+    base = parts[: len(parts) - node.level + is_package]
+    return ".".join([*base, *([node.module] if node.module else [])])
 
 
-def list_imports(module: str, text: str, is_package: bool = False) -> Iterator[str]:
-    """Return every module that a text imports, those for type checkers and in functions too."""
-    for node in ast.walk(ast.parse(text)):
+def list_imports(module: str, source: str, is_package: bool = False) -> Iterator[str]:
+    """Yield all modules that a source imports, also for type checking and in functions."""
+    for node in ast.walk(ast.parse(source)):
         if isinstance(node, ast.Import):
             yield from (alias.name for alias in node.names)
         elif isinstance(node, ast.ImportFrom):
-            base = resolve(module, is_package, node)
+            base = resolve_module(module, is_package, node)
             for alias in node.names:
                 name = f"{base}.{alias.name}"
                 yield name if name in MODULES else base
@@ -72,7 +72,7 @@
     return graph
 
 
-def find_circle(graph: dict[str, set[str]]) -> list[str]:
+def find_import_cycle(graph: dict[str, set[str]]) -> list[str]:
     try:
         list(TopologicalSorter(graph).static_order())
     except CycleError as error:
@@ -80,32 +80,32 @@
     return []
 
 
-def test_no_modules_import_each_other() -> None:
-    assert find_circle(build_graph()) == []
+def test_modules_have_no_import_cycle() -> None:
+    assert find_import_cycle(build_graph()) == []
 
 
-def test_a_circle_of_types_would_show() -> None:
+def test_cycle_of_type_checking_imports_is_found() -> None:
     text = "from typing import TYPE_CHECKING\nif TYPE_CHECKING:\n    from .host import Host\n"
     graph = build_graph()
     assert "heronthread_dispatch.news" in graph["heronthread_dispatch.host"]
     graph["heronthread_dispatch.news"] |= set(list_imports("heronthread_dispatch.news", text))
-    assert find_circle(graph)
+    assert find_import_cycle(graph)
 
 
-def test_every_package_has_its_place() -> None:
-    assert {name.partition(".")[0] for name in MODULES} == MAY_IMPORT.keys()
+def test_every_package_has_allowed_imports() -> None:
+    assert {name.partition(".")[0] for name in MODULES} == ALLOWED_IMPORTS.keys()
 
 
-@pytest.mark.parametrize("package", MAY_IMPORT)
-def test_packages_import_those_below_them(package: str) -> None:
+@pytest.mark.parametrize("package", ALLOWED_IMPORTS)
+def test_packages_import_only_allowed_packages(package: str) -> None:
     own = [name for name in MODULES if name.partition(".")[0] == package]
     graph = build_graph()
     found = {other.partition(".")[0] for name in own for other in graph[name]} - {package}
-    assert found <= MAY_IMPORT[package]
+    assert found <= ALLOWED_IMPORTS[package]
 
 
 @pytest.mark.parametrize("package", PACKAGES, ids=lambda package: package.name)
-def test_packages_declare_what_they_import(package: Path) -> None:
+def test_packages_declare_their_imports(package: Path) -> None:
     project = tomllib.loads((package / "pyproject.toml").read_text())["project"]
     declared = {name.replace("-", "_") for name in project["dependencies"]}
     own = package.name.replace("-", "_")
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""The list of tests that are known to fail names each once, with its cause and its issue."""
+"""KNOWN-RED.txt lists existing tests, each once, with its cause and issue."""
 
 import importlib.util
 from pathlib import Path
@@ -12,14 +12,14 @@
 _spec.loader.exec_module(_module)
 
 
-def test_each_listed_test_exists_and_has_a_cause_and_an_issue() -> None:
+def test_listed_tests_exist_and_have_cause_and_issue() -> None:
     for test, cause in _module.read_known_red().items():
         path, _, name = test.partition("::")
         assert f"def {name}(" in (ROOT / path).read_text()
         assert "issue" in cause
 
 
-def test_every_fault_may_be_listed(tmp_path: Path) -> None:
+def test_list_has_no_size_limit(tmp_path: Path) -> None:
     path = tmp_path / "KNOWN-RED.txt"
     path.write_text("".join(f"a.py::t{n}: cause (issue 1)\n" for n in range(20)))
     assert len(_module.read_known_red(path)) == 20
@@ -36,8 +36,8 @@
         "a.py::t1: cause (issue 1)",
     ],
 )
-def test_a_line_that_is_no_entry_is_refused(line: str, tmp_path: Path) -> None:
+def test_malformed_or_duplicate_line_is_rejected(line: str, tmp_path: Path) -> None:
     path = tmp_path / "KNOWN-RED.txt"
     path.write_text(f"a.py::t1: cause (issue 1)\n{line}\n")
-    with pytest.raises(ValueError, match="no entry"):
+    with pytest.raises(ValueError, match="malformed or duplicate entry"):
         _module.read_known_red(path)
