--- a/packages/heronthread-emulator/tests/test_executor_server.py
+++ b/packages/heronthread-emulator/tests/test_executor_server.py
@@ -26,8 +26,8 @@
 from heronthread_emulator.sight import Sight
 from heronthread_emulator.standin import StandinSettings
 from heronthread_emulator.store_server import StoreServer
-from heronthread_platform.entries import EntryReader
-from heronthread_platform.executors import PlatformExecutors
+from heronthread_platform.entries import EntryParser
+from heronthread_platform.executors import PlatformExecutorLink
 
 TASK = TaskKey("00000000000000aa", 0, 0)
 LONG = spelling.write_job(WorkSpec(Resources(1, 1, 0), 60.0), 1, gang=False, schedule=None)["spec"]
@@ -65,7 +65,7 @@
         server = ExecutorServer(settings, Sight("executors", output), nursery)
         nursery.start_soon(server.executors.run)
         await server.add({"executor": 0})
-        yield Site(server, store.store, PlatformExecutors(client), output)
+        yield Site(server, store.store, PlatformExecutorLink(client), output)
 
 
 async def _until(check):
@@ -138,7 +138,7 @@
 async def test_entry_says_what_becomes_of_its_executor(site):
     key = spelling.EXECUTOR_PREFIX + site.life.executor.id
     await _until(lambda: key in site.store.items)
-    found = EntryReader().parse(site.life.executor.id, site.store.items[key].value)
+    found = EntryParser().parse(site.life.executor.id, site.store.items[key].value)
     assert found == site.life.executor
     values = {"executor": 0, "left_s": 0.3, "longer_s": 0.1}
     await site.server.drain(values)
--- a/packages/heronthread-emulator/tests/test_spelling.py
+++ b/packages/heronthread-emulator/tests/test_spelling.py
@@ -23,9 +23,9 @@
 from heronthread_emulator.http_server import Response, serve_http
 from heronthread_emulator.soak_plan import make_version
 from heronthread_platform.configuration import make_configuration_format
-from heronthread_platform.entries import PREFIX, EntryReader
-from heronthread_platform.executors import PlatformExecutors
-from heronthread_platform.job_body import read_job_body
+from heronthread_platform.entries import PREFIX, EntryParser
+from heronthread_platform.executors import PlatformExecutorLink
+from heronthread_platform.job_body import parse_job_body
 from heronthread_platform.settings import ProcessSettings
 
 TASK = TaskKey("00000000000000aa", 1, 17, 2)
@@ -44,7 +44,7 @@
 
     await nursery.start(serve_http, ADDRESS, handle)
     with HttpClient() as client:
-        link = PlatformExecutors(client)
+        link = PlatformExecutorLink(client)
         give = {StartOrder: link.start, StopOrder: link.stop, HoldOrder: link.hold}
         outcome = await give[type(order)](EXECUTOR, order)
     return seen[0], outcome
@@ -86,7 +86,7 @@
 
 
 def test_entry_is_read_as_it_was_written():
-    assert EntryReader().parse("e1-1", spelling.write_entry(EXECUTOR, 3)) == EXECUTOR
+    assert EntryParser().parse("e1-1", spelling.write_entry(EXECUTOR, 3)) == EXECUTOR
     assert PREFIX == spelling.EXECUTOR_PREFIX
 
 
@@ -101,7 +101,7 @@
     work = WorkSpec(Resources(1000, 500, 2), 1.5, 3)
     schedule = Schedule(2, 1_700_000_000.25, 1.5)
     body = spelling.write_job(work, 3, gang=True, schedule=schedule)
-    job = read_job_body(json.dumps(body).encode())
+    job = parse_job_body(json.dumps(body).encode())
     (step,) = job.steps
     assert (step.count, step.need, step.estimate_s, step.gang) == (3, work.need, 1.5, True)
     assert job.schedule == schedule
--- a/tests/platform/scripted_server.py
+++ b/tests/platform/scripted_server.py
@@ -60,10 +60,10 @@
     async def _send_response(
         self, stream: trio.SocketStream, connection: h11.Connection, request: ReceivedRequest
     ) -> bool:
-        respond = self.respond(request)
-        if respond is None:
+        response = self.respond(request)
+        if response is None:
             return False
-        status, value = respond
+        status, value = response
         data = json.dumps(value).encode()
         headers = [("Content-Length", str(len(data)))]
         sent = connection.send(h11.Response(status_code=status, headers=headers)) or b""
--- a/tests/platform/test_approver.py
+++ b/tests/platform/test_approver.py
@@ -4,7 +4,7 @@
 from heronthread_dispatch.http_client import HttpClient
 from heronthread_dispatch.model import ApprovalTerms, Life, TaskKey
 from heronthread_platform.approver import PlatformApprover
-from heronthread_platform.configuration import ConfigurationReader
+from heronthread_platform.configuration import ConfigurationParser
 
 from .scripted_server import ReceivedRequest, run_scripted_server
 
@@ -38,6 +38,6 @@
 def test_approval_terms_are_read_from_the_configuration() -> None:
     route = b'{"name":"r","host":"h","path-prefix":"/r/","service":"s","advice":%s}'
     advice = b'{"decision-ms":200,"per-item-ms":2,"validity-ms":4000}'
-    state = ConfigurationReader().parse(b'{"version":3,"routes":[%s]}' % (route % advice))
+    state = ConfigurationParser().parse(b'{"version":3,"routes":[%s]}' % (route % advice))
     assert state is not None
     assert state.queues[0].approval == ApprovalTerms(0.2, 0.002, 4.0)
--- a/tests/platform/test_configuration.py
+++ b/tests/platform/test_configuration.py
@@ -2,7 +2,7 @@
 
 import orjson
 from heronthread_dispatch.model import DesiredState, Queue
-from heronthread_platform.configuration import ConfigurationReader, make_configuration_format
+from heronthread_platform.configuration import ConfigurationParser, make_configuration_format
 from hypothesis import given
 from hypothesis import strategies as st
 
@@ -26,9 +26,9 @@
 
 
 def test_unchanged_routes_are_not_parsed_again() -> None:
-    reader = ConfigurationReader()
-    first = reader.parse(_encode(1, [_route(0), _route(1), _route(2)]))
-    second = reader.parse(_encode(2, [_route(0), _route(1, priority=0), _route(3)]))
+    parser = ConfigurationParser()
+    first = parser.parse(_encode(1, [_route(0), _route(1), _route(2)]))
+    second = parser.parse(_encode(2, [_route(0), _route(1, priority=0), _route(3)]))
     assert first is not None and second is not None
     assert [queue.name for queue in second.queues] == ["r-0", "r-1", "r-3"]
     assert second.queues[0] is first.queues[0]
@@ -36,10 +36,10 @@
 
 
 def test_invalid_route_rejects_only_its_version() -> None:
-    reader = ConfigurationReader()
-    assert reader.parse(_encode(1, [_route(0)])) is not None
-    assert reader.parse(_encode(2, [_route(0), _route(1, priority="high")])) is None
-    third = reader.parse(_encode(3, [_route(0), _route(1)]))
+    parser = ConfigurationParser()
+    assert parser.parse(_encode(1, [_route(0)])) is not None
+    assert parser.parse(_encode(2, [_route(0), _route(1, priority="high")])) is None
+    third = parser.parse(_encode(3, [_route(0), _route(1)]))
     assert third is not None and len(third.queues) == 2
 
 
--- a/tests/platform/test_entries.py
+++ b/tests/platform/test_entries.py
@@ -8,7 +8,7 @@
 from heronthread_dispatch.entries import BadEntry, EntryFault
 from heronthread_dispatch.model import Executor, Resources
 from heronthread_emulator import spelling
-from heronthread_platform.entries import EntryReader
+from heronthread_platform.entries import EntryParser
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
@@ -28,7 +28,7 @@
 
 
 def _parse(data: bytes) -> Executor | BadEntry:
-    return EntryReader(DOMAINS).parse("i-1", data)
+    return EntryParser(DOMAINS).parse("i-1", data)
 
 
 def test_valid_entry_is_parsed() -> None:
@@ -79,7 +79,7 @@
 
 @pytest.mark.parametrize("executor_id", ["", "i-1/more"])
 def test_invalid_executor_id_is_rejected(executor_id: str) -> None:
-    found = EntryReader(DOMAINS).parse(executor_id, GOOD)
+    found = EntryParser(DOMAINS).parse(executor_id, GOOD)
     assert found == BadEntry(EntryFault.WRONG_VALUE, "id")
 
 
@@ -89,7 +89,7 @@
 
 
 def test_any_domain_is_accepted_if_none_is_configured() -> None:
-    found = EntryReader().parse("i-1", FOREIGN["zone 'nowhere'"])
+    found = EntryParser().parse("i-1", FOREIGN["zone 'nowhere'"])
     assert isinstance(found, Executor) and found.zone == "nowhere"
 
 
--- a/tests/platform/test_executors.py
+++ b/tests/platform/test_executors.py
@@ -14,7 +14,7 @@
 )
 from heronthread_dispatch.http_client import HttpClient
 from heronthread_dispatch.model import Executor, Resources, TaskKey
-from heronthread_platform.executors import PlatformExecutors
+from heronthread_platform.executors import PlatformExecutorLink
 
 from .scripted_server import ReceivedRequest, run_scripted_server
 
@@ -34,12 +34,12 @@
 
     async with run_scripted_server(respond) as server:
         with HttpClient() as client:
-            link = PlatformExecutors(client)
+            link = PlatformExecutorLink(client)
             executor, task = _executor(server.address), TASK._replace(occurrence=3)
             assert await link.stop(executor, StopOrder(task, 2, 7)) == Obeyed()
         with HttpClient() as client:
             server.respond = lambda request: (200, {"clock-ms": 5, "running": [[name, 2, "", 41]]})
-            report = await PlatformExecutors(client).hold(executor, HoldOrder(7, 0, None, 0.0))
+            report = await PlatformExecutorLink(client).hold(executor, HoldOrder(7, 0, None, 0.0))
             assert isinstance(report, Report)
             assert report.running[0].task == task
 
@@ -50,7 +50,7 @@
 
     async with run_scripted_server(respond) as server:
         with HttpClient() as client:
-            link = PlatformExecutors(client)
+            link = PlatformExecutorLink(client)
             order = StartOrder(TASK, 2, "text", "00ff", 7, 486000)
             assert await link.start(_executor(server.address), order) == Obeyed()
         request = server.requests[0]
@@ -85,14 +85,14 @@
 ) -> None:
     async with run_scripted_server(lambda request: (status, body)) as server:
         with HttpClient() as client:
-            link = PlatformExecutors(client)
+            link = PlatformExecutorLink(client)
             assert await link.stop(_executor(server.address), StopOrder(TASK, 2, 7)) == expected
 
 
 async def test_lost_response_is_unanswered() -> None:
     async with run_scripted_server(lambda request: None) as server:
         with HttpClient() as client:
-            link = PlatformExecutors(client)
+            link = PlatformExecutorLink(client)
             outcome = await link.stop(_executor(server.address), StopOrder(TASK, 2, 7))
             assert isinstance(outcome, Unanswered)
             assert not outcome.unsent
@@ -106,7 +106,7 @@
     }
     async with run_scripted_server(lambda request: (200, body)) as server:
         with HttpClient() as client:
-            link = PlatformExecutors(client)
+            link = PlatformExecutorLink(client)
             report = await link.hold(_executor(server.address), HoldOrder(7, 57, None, 0.0))
         assert server.requests[0].body == {"fencing-token": 7, "last-seen": 57}
     assert isinstance(report, Report)
@@ -130,6 +130,6 @@
         with HttpClient() as client:
             for _ in bodies:
                 order = HoldOrder(7, 0, None, 0.0)
-                report = await PlatformExecutors(client).hold(_executor(server.address), order)
+                report = await PlatformExecutorLink(client).hold(_executor(server.address), order)
                 found.append(report.born if isinstance(report, Report) else None)
     assert found == [1796236330914, 0, None, None, None, None]
--- a/tests/platform/test_fuzz.py
+++ b/tests/platform/test_fuzz.py
@@ -17,10 +17,10 @@
 from heronthread_dispatch.http_client import HttpClient, Reply
 from heronthread_dispatch.keystore import Events, HistoryLost, Item, Listing, Missing, Transaction
 from heronthread_dispatch.model import DesiredState, Executor, Resources
-from heronthread_platform.configuration import ConfigurationReader
-from heronthread_platform.entries import EntryReader
-from heronthread_platform.executors import PlatformExecutors
-from heronthread_platform.job_body import JobBody, read_job_body
+from heronthread_platform.configuration import ConfigurationParser
+from heronthread_platform.entries import EntryParser
+from heronthread_platform.executors import PlatformExecutorLink
+from heronthread_platform.job_body import JobBody, parse_job_body
 from heronthread_platform.store import PlatformStore
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -76,38 +76,38 @@
 @DETERMINISTIC
 @given(JOB | VALUES)
 def test_any_json_body_is_parsed_or_rejected(value: object) -> None:
-    found = read_job_body(_encode(value))
+    found = parse_job_body(_encode(value))
     assert isinstance(found, str | JobBody)
 
 
 @DETERMINISTIC
 @given(st.binary(max_size=40))
 def test_any_bytes_are_parsed_or_rejected(data: bytes) -> None:
-    assert isinstance(read_job_body(data), str | JobBody)
-    assert ConfigurationReader().parse(data) is None or isinstance(
-        ConfigurationReader().parse(data), DesiredState
+    assert isinstance(parse_job_body(data), str | JobBody)
+    assert ConfigurationParser().parse(data) is None or isinstance(
+        ConfigurationParser().parse(data), DesiredState
     )
-    assert isinstance(EntryReader().parse("i-1", data), BadEntry)
+    assert isinstance(EntryParser().parse("i-1", data), BadEntry)
 
 
 @DETERMINISTIC
 @given(CONFIG | VALUES)
 def test_any_configuration_is_parsed_or_rejected(value: object) -> None:
-    found = ConfigurationReader().parse(_encode(value))
+    found = ConfigurationParser().parse(_encode(value))
     assert found is None or isinstance(found, DesiredState)
 
 
 @DETERMINISTIC
 @given(ENTRY | VALUES)
 def test_any_entry_is_parsed_or_rejected(value: object) -> None:
-    found = EntryReader().parse("i-1", _encode(value))
+    found = EntryParser().parse("i-1", _encode(value))
     assert isinstance(found, Executor | BadEntry)
 
 
 @DETERMINISTIC
 @given(st.sampled_from([200, 400, 404, 409, 410, 412, 421, 429, 500, 503]), VALUES)
 def test_any_executor_response_has_an_outcome(status: int, value: object) -> None:
-    link = PlatformExecutors(_FixedClient(status, _encode(value)))
+    link = PlatformExecutorLink(_FixedClient(status, _encode(value)))
     executor = Executor("i-1", "a", "p", "", "", (), Resources())
     outcome = trio.run(link.hold, executor, HoldOrder(1, 0, None, 0.0))
     assert isinstance(outcome, Report | Refused | Unhealthy | OtherLife | Unanswered | Obeyed)
