--- a/packages/heronthread-dispatch/src/heronthread_dispatch/confirming.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/confirming.py
@@ -1,8 +1,8 @@
-"""That a run is not at its executor, once a stop of it was obeyed.
+"""Confirms quickly that a stopped run is not at its executor.
 
-No report has named the run, as its start was not answered and may never have come. A report that is
-asked for after the stop and does not name it settles that; a hold that waits for an end has none to
-wait for.
+The run was in no report, as its start was not answered and may never have arrived. A report that is
+requested after the stop and does not list it confirms this. A hold that waits for an end would not
+return for it.
 """
 
 from __future__ import annotations
@@ -14,19 +14,19 @@
 from .owned import OwnedCell
 from .progress import UNSETTLED, Attempt, Phase
 
-LOOK_AGAIN_S = 0.4
-MOST_LOOKS = 4
-"""Beside each other: as many answers are seldom lost in a row."""
+REPROBE_AFTER_S = 0.4
+MAX_PROBES = 4
+"""Concurrent probes; so many answers are rarely lost at once."""
 
 
-def is_to_be_confirmed(attempt: Attempt, asked_at: float) -> bool:
-    """Whether a run that no report named was stopped, or called old, since one was asked for."""
+def needs_confirmation(attempt: Attempt, asked_at: float) -> bool:
+    """Return whether an unreported run was stopped, or refused as old, since `asked_at`."""
     is_settled = asked_at < attempt.settled_at < UNSETTLED
     return is_settled and not attempt.seen and attempt.phase is not Phase.RUNNING
 
 
-async def give_hold(cell: OwnedCell, state: ExecutorState, order: HoldOrder) -> HoldOutcome:
-    """Give a hold; while it waits for an end, see to the stops that are answered meanwhile."""
+async def send_hold(cell: OwnedCell, state: ExecutorState, order: HoldOrder) -> HoldOutcome:
+    """Send a hold, and confirm stops concurrently while it waits for an end."""
     link = cell.parts.link
     state.stop_settled = trio.Event()
     if not order.wait_s:
@@ -38,47 +38,46 @@
     return outcome
 
 
-async def look_again(cell: OwnedCell, state: ExecutorState) -> tuple[HoldOutcome, float]:
-    """Look at an executor that has not answered, and again beside a look without an answer yet.
+async def probe_repeatedly(cell: OwnedCell, state: ExecutorState) -> tuple[HoldOutcome, float]:
+    """Probe an executor that has not answered, with further probes while there is no answer.
 
-    Return the first answer, and when its look was sent. One answer may be lost, or seconds late,
-    while the next comes at once, and work that only this executor can vouch for waits for it.
+    Return the first answer and the time when its probe was sent. A single answer may be lost or
+    late, while work is waiting for this executor.
     """
     order = HoldOrder(cell.term.number, 0, None, 0.0)
-    sender, receiver = trio.open_memory_channel[tuple[HoldOutcome, float]](MOST_LOOKS)
+    sender, receiver = trio.open_memory_channel[tuple[HoldOutcome, float]](MAX_PROBES)
 
-    async def look() -> None:
+    async def send_probe() -> None:
         sent = trio.current_time()
         await sender.send((await cell.parts.link.hold(state.executor, order), sent))
 
-    asked = answered = 0
+    sent_count = answer_count = 0
     async with trio.open_nursery() as nursery:
         while True:
-            if asked < MOST_LOOKS:
-                nursery.start_soon(look)
-                asked += 1
+            if sent_count < MAX_PROBES:
+                nursery.start_soon(send_probe)
+                sent_count += 1
             found: tuple[HoldOutcome, float] | None = None
-            with trio.move_on_after(LOOK_AGAIN_S if asked < MOST_LOOKS else float("inf")):
+            with trio.move_on_after(REPROBE_AFTER_S if sent_count < MAX_PROBES else float("inf")):
                 found = await receiver.receive()
             if found is None:
                 continue
-            answered += 1
-            if not _is_lost(found[0]) or answered == MOST_LOOKS:
+            answer_count += 1
+            if not _has_no_answer(found[0]) or answer_count == MAX_PROBES:
                 break
         nursery.cancel_scope.cancel()
     return found
 
 
-def _is_lost(outcome: HoldOutcome) -> bool:
-    """Whether a call may have been done, or be done later, without an answer."""
+def _has_no_answer(outcome: HoldOutcome) -> bool:
+    """Return whether a call without an answer may have been, or may still be, carried out."""
     return isinstance(outcome, Unanswered) and not outcome.unsent
 
 
 async def _confirm_stops(cell: OwnedCell, state: ExecutorState) -> None:
-    """Ask at once what became of a run that is stopped, each time that one is.
+    """Request a report each time a stop is acknowledged.
 
-    Nothing else is taken from the report: the hold beside this one may be the older one and be
-    answered later.
+    Only missing runs are taken from it, as the hold in flight may be older but be answered later.
     """
     while True:
         await state.stop_settled.wait()
@@ -91,9 +90,9 @@
 
 
 def _close_unnamed(cell: OwnedCell, state: ExecutorState, report: Report, sent: float) -> None:
-    """Close the stopped runs of which a report says neither that they run nor that they ended.
+    """Close the stopped runs that a report lists neither as running nor as ended.
 
-    One that it does name is left to the reports that are taken in whole.
+    Runs that it lists are left to the regular reports.
     """
     if not report.is_complete:
         return
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/fleet.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/fleet.py
@@ -1,4 +1,4 @@
-"""The executors as the owner knows them: room, clocks, holding times and health."""
+"""The owner's view of the executors: resources, clocks, leases and health."""
 
 from __future__ import annotations
 
@@ -12,23 +12,24 @@
 
 CLOCK_DRIFT = 0.03
 LAPSE_MARGIN_S = 0.3
-MOST_TRIP_S = 0.3
-"""By how much a holding time may be longer than asked for, of the 1.2 s that a new owner adds."""
-REST_S = 0.7
-LONGEST_REST_S = 6.0
+MAX_ROUND_TRIP_S = 0.3
+"""Bounds how much a long round trip can extend a lease; a new owner waits 1.2 s in addition to one.
+"""
+MIN_BACKOFF_S = 0.7
+MAX_BACKOFF_S = 6.0
 
 
 class WorkRefusal(StrEnum):
-    """Why an executor is given no new run."""
+    """The reason why an executor is given no new run."""
 
-    OVER = "its life is over"
+    ENDED = "its life is over"
     NOT_HEARD = "not heard yet"
     SILENT = "silent"
-    DOUBTED = "has not answered a look yet"
+    NEEDS_REPORT = "has not answered a look yet"
     NOT_RECORDED = "not recorded as in use"
     SET_ASIDE = "its entry is set aside"
-    OTHER_LIFE = "its entry is of another life"
-    NOT_DESCRIBED = "no entry of this life"
+    OTHER_INSTANCE = "its entry is of another life"
+    NO_OWN_ENTRY = "no entry of this life"
     NOT_LISTED = "no entry"
     EVACUATED = "evacuated"
     LEAVING = "leaving"
@@ -38,31 +39,34 @@
 
 @dataclass(slots=True, eq=False)
 class ExecutorState:
-    """One life of an executor; times are on trio's clock unless said otherwise.
-
-    `clock` is (sent, received, its clock in ms) of the reading with the shortest trip.
-    `lapse_by` is when everything there has certainly ended unless it is held again.
-    `noted` is the highest end taken in, `seen` the highest that is recorded, `told_seen`
-    the highest that the executor has been told; those in `kept_back` not before their times, by
-    number. `listed`: its entry is there, `was_listed`: it was at any time of this term.
-    `silent_since` is when it failed to report, None while it does;
-    `at_silence` what was there then and for how long (s), `listed_at_silence` whether its entry
-    was, and `has_refused` whether its address has taken no connection since. Until `apart_until`
-    nothing is started beside a task under which executors have crashed. `recorded`: the store
-    names it as in use; `is_lapsing`: it says, or may say, that nobody holds it, so that it is given
-    no holding time before that is taken back; `is_inherited`: an earlier owner may have used it;
-    `is_said_anew`: as another life than its entry says now; `is_named`: only for jobs of which the
-    store names it, else `only_tasks` are those that it may have left there, None for any. `strays`
-    are runs that are there beside their tasks' own attempts, or of no job that is known, until each
-    is stopped.
-    `evacuated`: its failure domain is to take no new work. `is_set_aside`: its entry names no
-    executor to use now. `announced` is what an entry says of another life under the id, until that
-    life reports, and `elsewhere` what one says of this life at another address, until it answers
-    there; `asked` is the last of either about which this life has answered since; `is_described`:
-    an entry of this life has been read. `reported_at` is when its last report came; `is_doubted`:
-    it is to report once more before it is given anything. `news` is set, and another one put in its
-    place, as it reports or does not. `stop_settled` is set once a run is stopped that no report
-    has named.
+    """One instance of an executor; times are on trio's clock unless stated otherwise.
+
+    - `clock`: (sent, received, clock in ms) of the clock reading with the shortest round trip.
+    - `lapse_by`: when everything there has certainly ended unless the lease is renewed.
+    - `noted`: the highest end processed; `seen`: the highest end in the store; `told_seen`: the
+      highest end acknowledged to the executor. Ends in `ack_deferred_until` are acknowledged at
+      their times.
+    - `heard`: it has reported to this owner.
+    - `listed`: its entry exists; `was_listed`: it existed at some time in this term.
+    - `silent_since`: when it stopped reporting, None while it reports. `at_silence`: its attempts
+      then with their ages (s); `listed_at_silence`: whether its entry existed then; `has_refused`:
+      whether its address has refused connections since.
+    - `exclusive_until`: until then nothing is started beside a task under which executors crashed.
+    - `recorded`: the store lists it as in use. `is_lapsing`: the store says, or may say, that its
+      lease is not renewed, so it must not be renewed before that is withdrawn.
+    - `is_inherited`: an earlier owner may have used it. `is_said_anew`: its entry names another
+      instance than the recorded one. `is_named`: only jobs that list it may be there; otherwise
+      `only_tasks` are the tasks that may be, None for any.
+    - `strays`: orphaned runs, which are not their tasks' attempts or belong to no known job, until
+      each is stopped.
+    - `evacuated`: its failure domain takes no new work. `is_set_aside`: its entry is not usable.
+    - `announced`: an entry for another instance, until that one reports. `elsewhere`: an entry for
+      this instance at another address, until it answers there. `asked`: the last of these entries
+      that was probed. `has_own_entry`: an entry of this instance was read.
+    - `reported_at`: when its last report arrived. `is_doubted`: it must report once more before it
+      gets work.
+    - `news`: set and replaced when it reports or fails to. `stop_settled`: set when an unreported
+      run was stopped.
     """
 
     executor: Executor
@@ -74,13 +78,13 @@
     noted: int = 0
     seen: int = 0
     told_seen: int = 0
-    kept_back: dict[int, float] = field(default_factory=dict)
+    ack_deferred_until: dict[int, float] = field(default_factory=dict)
     heard: bool = False
     silent_since: float | None = None
     at_silence: tuple[tuple[Attempt, float], ...] = ()
     listed_at_silence: bool = True
     has_refused: bool = False
-    apart_until: float = 0.0
+    exclusive_until: float = 0.0
     listed: bool = True
     was_listed: bool = False
     recorded: bool = False
@@ -95,12 +99,12 @@
     announced: Executor | None = None
     elsewhere: Executor | None = None
     asked: Executor | None = None
-    is_described: bool = True
+    has_own_entry: bool = True
     reported_at: float = float("-inf")
     is_doubted: bool = False
     leaves_at: float | None = None
     rest_until: float = 0.0
-    bad_streak: int = 0
+    backoff_streak: int = 0
     failed_streak: int = 0
     failed_jobs: set[str] = field(default_factory=set)
     slow_until: float = 0.0
@@ -111,42 +115,42 @@
 
     @property
     def id(self) -> str:
-        """The executor's id, which another life may have after this one."""
+        """The executor's id, which a later instance may reuse."""
         return self.executor.id
 
     @property
     def life(self) -> Life:
-        """What names this life."""
+        """The identity of this instance."""
         return self.executor.life
 
     def accepts_work(self, now: float) -> bool:
-        """Whether new runs may be started here."""
+        """Return whether new runs may be started here."""
         return self.find_refusal(now) is None
 
     def find_refusal(self, now: float) -> WorkRefusal | None:
-        """Return why no new run may be started here, None if one may be."""
-        return self._find_doubt() or self._find_closing(now)
+        """Return the reason why no new run may be started here, None if one may."""
+        return self._find_unconfirmed() or self._find_unavailable(now)
 
-    def _find_doubt(self) -> WorkRefusal | None:
-        """Return what is not known of it, or not agreed, so that nothing may be sent there."""
+    def _find_unconfirmed(self) -> WorkRefusal | None:
+        """Return why its state is not known or not recorded, so that nothing may be sent."""
         if self.dead:
-            return WorkRefusal.OVER
+            return WorkRefusal.ENDED
         if not self.heard:
             return WorkRefusal.NOT_HEARD
         if self.silent_since is not None:
             return WorkRefusal.SILENT
         if self.is_doubted:
-            return WorkRefusal.DOUBTED
+            return WorkRefusal.NEEDS_REPORT
         if not self.recorded or self.is_lapsing:
             return WorkRefusal.NOT_RECORDED
         if self.is_set_aside:
             return WorkRefusal.SET_ASIDE
         if self.announced is not None:
-            return WorkRefusal.OTHER_LIFE
-        return None if self.is_described else WorkRefusal.NOT_DESCRIBED
+            return WorkRefusal.OTHER_INSTANCE
+        return None if self.has_own_entry else WorkRefusal.NO_OWN_ENTRY
 
-    def _find_closing(self, now: float) -> WorkRefusal | None:
-        """Return why it is not to be given work, though it is known and answers."""
+    def _find_unavailable(self, now: float) -> WorkRefusal | None:
+        """Return why an executor in a known state takes no work."""
         if not self.listed:
             return WorkRefusal.NOT_LISTED
         if self.evacuated:
@@ -155,31 +159,31 @@
             return WorkRefusal.LEAVING
         if now < self.rest_until:
             return WorkRefusal.RESTING
-        return WorkRefusal.APART if now < self.apart_until else None
+        return WorkRefusal.APART if now < self.exclusive_until else None
 
     def occupy(self, attempt: Attempt) -> None:
-        """Take room for an attempt."""
+        """Reserve resources for an attempt."""
         self.attempts[attempt.task] = attempt
         self.free = self.free.minus(attempt.need)
         self.wake.set()
 
     def occupy_astray(self, attempt: Attempt) -> None:
-        """Take room for a run that is there without being its task's attempt."""
+        """Reserve resources for an orphaned run."""
         self.strays[attempt.task, attempt.run] = attempt
         self.free = self.free.minus(attempt.need)
         self.wake.set()
 
     def holds(self, attempt: Attempt) -> bool:
-        """Whether an attempt is, or may be, here."""
+        """Return whether an attempt is, or may be, here."""
         stray = self.strays.get((attempt.task, attempt.run))
         return attempt in (self.attempts.get(attempt.task), stray)
 
     def list_held(self) -> list[Attempt]:
-        """Return all that is, or may be, here."""
+        """Return all attempts and orphaned runs that are, or may be, here."""
         return [*self.attempts.values(), *self.strays.values()]
 
     def release(self, attempt: Attempt) -> None:
-        """Give an attempt's room back."""
+        """Free an attempt's resources."""
         if self.attempts.get(attempt.task) is attempt:
             del self.attempts[attempt.task]
         elif self.strays.get((attempt.task, attempt.run)) is attempt:
@@ -189,7 +193,7 @@
         self.free = self.free.plus(attempt.need)
 
     def room_soon(self) -> Resources:
-        """Return the room once everything that is being stopped has ended."""
+        """Return the resources that are free once all stopping attempts have ended."""
         soon = self.free
         for attempt in self.list_held():
             if attempt.phase is Phase.STOPPING:
@@ -197,7 +201,7 @@
         return soon
 
     def describe(self, executor: Executor) -> None:
-        """Take in a good entry of this life."""
+        """Apply a valid entry of this instance."""
         used = NOTHING
         for attempt in self.list_held():
             used = used.plus(attempt.need)
@@ -206,27 +210,27 @@
         self.listed = self.was_listed = True
         self.is_set_aside = False
         self.announced = self.elsewhere = None
-        self.is_described = True
+        self.has_own_entry = True
 
-    def note_over(self) -> None:
-        """Take in that this life is over: nothing runs here, and nothing will."""
+    def mark_ended(self) -> None:
+        """Record that this instance has ended, and nothing runs here any more."""
         self.dead = True
         self.wake.set()
-        self.tell_news()
+        self.notify_waiters()
 
-    def note_reported(self, received: float) -> None:
-        """Take in that it has reported."""
+    def mark_reported(self, received: float) -> None:
+        """Record that it has reported."""
         self.reported_at = received
         self.is_doubted = False
-        self.tell_news()
+        self.notify_waiters()
 
-    def tell_news(self) -> None:
-        """Wake whoever waits for it to report, or to be known not to."""
+    def notify_waiters(self) -> None:
+        """Wake the tasks that wait for its next report, or for a failure to report."""
         self.news.set()
         self.news = trio.Event()
 
     def read_clock(self, sent: float, received: float, clock_ms: int) -> None:
-        """Keep a reading of its clock if it bounds it better than the last one did."""
+        """Keep a clock reading if it is more precise than the last one."""
         if self.clock is not None:
             old_sent, old_received, _ = self.clock
             widened = old_received - old_sent + (received - old_received) * CLOCK_DRIFT
@@ -235,42 +239,44 @@
         self.clock = (sent, received, clock_ms)
 
     def deadline_ms(self, now: float, hold_s: float) -> int | None:
-        """Return the time on its clock that is `hold_s` from now, and remember the bound.
+        """Return the time on its clock that is `hold_s` from now, and extend `lapse_by` to it.
 
-        None while it may not be held: its clock is not known, or the next owner would count on it.
+        None while its clock is unknown, or while the store says that its lease is not renewed.
         """
         if self.clock is None or self.is_lapsing:
             return None
         sent, received, clock_ms = self.clock
-        # A reading may be as old as its trip; a long poll's is seconds, and would be added to
-        # the holding time, which a new owner counts from its own start.
-        elapsed = now - max(sent, received - MOST_TRIP_S)
+        # A reading may be as old as its round trip, which is seconds for a long poll. Without a
+        # limit that would extend the lease beyond what a new owner waits for.
+        elapsed = now - max(sent, received - MAX_ROUND_TRIP_S)
         until_ms = clock_ms + int((elapsed + hold_s) * 1000)
         remaining = (until_ms - clock_ms) / 1000
         lapse = received + remaining * (1 + CLOCK_DRIFT) + LAPSE_MARGIN_S
         self.lapse_by = max(self.lapse_by, lapse)
         return until_ms
 
-    def find_tellable(self, now: float) -> int:
-        """Return up to which number the executor may be told to forget its ends."""
-        self.kept_back = {n: until for n, until in self.kept_back.items() if until > now}
-        return min(self.seen, min(self.kept_back, default=self.seen + 1) - 1)
-
-    def note_bad(self, now: float, longest_s: float = LONGEST_REST_S) -> None:
-        """Keep new work away for a while, longer each time in a row."""
-        self.bad_streak += 1
-        self.rest_until = now + min(longest_s, REST_S * 2 ** (self.bad_streak - 1))
-
-    def note_good(self) -> None:
-        """It has finished work."""
-        self.bad_streak = 0
+    def find_acknowledgeable(self, now: float) -> int:
+        """Return the highest end number that may be acknowledged to the executor."""
+        self.ack_deferred_until = {
+            n: until for n, until in self.ack_deferred_until.items() if until > now
+        }
+        return min(self.seen, min(self.ack_deferred_until, default=self.seen + 1) - 1)
+
+    def note_bad(self, now: float, longest_s: float = MAX_BACKOFF_S) -> None:
+        """Back off from starting work here, for longer with each failure in a row."""
+        self.backoff_streak += 1
+        self.rest_until = now + min(longest_s, MIN_BACKOFF_S * 2 ** (self.backoff_streak - 1))
+
+    def reset_backoff(self) -> None:
+        """Clear the backoff after a successful run."""
+        self.backoff_streak = 0
         self.failed_streak = 0
         self.failed_jobs.clear()
         self.rest_until = 0.0
 
 
 def make_executor(executor: Executor, now: float) -> ExecutorState:
-    """Return the state of an executor that hasn't been heard."""
+    """Return the state of an executor that has not reported yet."""
     state = ExecutorState(executor, free=executor.capacity)
     if executor.leaves_in_s is not None:
         state.leaves_at = now + executor.leaves_in_s
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/orders.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/orders.py
@@ -1,4 +1,4 @@
-"""Giving starts and stops, each until it is answered or can't matter any more."""
+"""Sends start and stop orders, each until it is answered or has become irrelevant."""
 
 from __future__ import annotations
 
@@ -24,26 +24,26 @@
 from .fleet import ExecutorState
 from .owned import OwnedCell
 from .plan import Start
-from .progress import Attempt, Phase, list_starts_under_way, open_start
+from .progress import Attempt, Phase, list_pending_starts, to_open_start
 
 START_TRIES = 3
 RETRY_S = 0.05
 STOP_RETRY_S = 0.25
-NO_ROOM_REST_S = 0.2
-TRIAL_PATIENCE_S = 0.5
-"""For the store to name an executor before a trial there: a slow store answers in 0.3 s."""
+REFUSAL_BACKOFF_S = 0.2
+TRIAL_RECORD_TIMEOUT_S = 0.5
+"""How long to wait until a trial start is recorded; a slow store answers in 0.3 s."""
 
-NAMING_PATIENCE_S = 2.0
-"""For the store to name the executors of a start: twice what a call that loses its answer takes."""
-NAMING_LOOK_S = 0.1
-"""Between looks whether the store answers at all: if not, the task goes where it is named."""
+NAMING_TIMEOUT_S = 2.0
+"""How long to wait until placements are recorded: twice the duration of an unanswered call."""
+NAMING_POLL_S = 0.1
+"""How often to check that the store accepts writes; if not, only recorded executors can be used."""
 
-STARTS_A_LINE = 64
-"""Tasks that one log line names: with ids of 36 characters it is below what a pipe takes whole."""
+STARTS_PER_LOG_LINE = 64
+"""Keeps a line with ids of 36 characters below the size that a pipe writes atomically."""
 
 
 class Orders:
-    """Carries out plans: one task for each order."""
+    """Carries out plans, with one trio task for each order."""
 
     def __init__(self, cell: OwnedCell, nursery: trio.Nursery, depose: Callable[[], None]) -> None:
         self.cell = cell
@@ -51,19 +51,20 @@
         self._depose = depose
 
     def start_group(self, group: list[Start]) -> None:
-        """Start tasks; the members of a gang get one run number."""
+        """Start a group of tasks; the members of a gang share one run number."""
         if group[0].step.spec.gang:
-            self._start_together(group)
+            self._start_batch(group)
         else:
             for start in group:
-                self._start_together([start])
+                self._start_batch([start])
 
-    def _start_together(self, group: list[Start]) -> None:
+    def _start_batch(self, group: list[Start]) -> None:
         if any(start.executor.dead for start in group):
-            # Another life began while the plan was made; the next plan counts with that one.
+            # The executor started again while the plan was made; the next plan uses the new
+            # instance.
             self.cell.wake_planner()
             return
-        run = self.cell.next_run([start.task for start in group])
+        run = self.cell.allocate_run([start.task for start in group])
         checkpoint = _choose_checkpoint(group)
         now = trio.current_time()
         orders: list[tuple[Start, Attempt]] = []
@@ -72,11 +73,11 @@
             attempt = Attempt(key, run, start.executor.life, start.step.spec.need, now)
             attempt.moved_at = now
             if start.step.has_suspects:
-                # Whatever else began there would be under the same suspicion if it crashes.
-                start.executor.apart_until = now + YOUNG_S
+                # Other tasks started there now would be suspected as well if it crashes.
+                start.executor.exclusive_until = now + YOUNG_S
             self.cell.place(start.task, attempt, start.executor)
             orders.append((start, attempt))
-        self._nursery.start_soon(self._start_named, orders, checkpoint)
+        self._nursery.start_soon(self._send_when_named, orders, checkpoint)
         job = group[0].job
         if not job.begun:
             waited = now - (group[0].step.ready_at or now)
@@ -84,8 +85,8 @@
                 job.spec.tenant, job.spec.queue.name, Measure.WAITING, waited
             )
         self.cell.parts.statistics.count("starts", amount=len(group))
-        for first in range(0, len(group), STARTS_A_LINE):
-            self._log_starts(group, group[first : first + STARTS_A_LINE], run, now)
+        for first in range(0, len(group), STARTS_PER_LOG_LINE):
+            self._log_starts(group, group[first : first + STARTS_PER_LOG_LINE], run, now)
 
     def _log_starts(self, group: list[Start], part: list[Start], run: int, now: float) -> None:
         step = group[0].step
@@ -104,40 +105,40 @@
             term=self.cell.term.number,
         )
 
-    async def _start_named(self, orders: list[tuple[Start, Attempt]], checkpoint: str) -> None:
-        """Give the starts of a group once their executors answer and the store names them."""
+    async def _send_when_named(self, orders: list[tuple[Start, Attempt]], checkpoint: str) -> None:
+        """Send the starts of a group once their executors answer and the store lists them."""
         executors = [start.executor for start, _ in orders]
-        # Looked at before they are named: a next owner would withhold the job from a silent one.
+        # Probe first: the next owner would withhold the job from an unresponsive executor on
+        # record.
         if not await wait_answered(executors, self.cell.executors.values()):
-            self._give_up_unsent(orders, "its executor has not answered a look")
+            self._abandon_unsent(orders, "its executor has not answered a look")
             return
         if not await self._name_places(orders):
-            self._give_up_unsent(orders, "the store does not name its executor")
+            self._abandon_unsent(orders, "the store does not name its executor")
             return
         for start, attempt in orders:
             self._nursery.start_soon(self._start, start, attempt, checkpoint)
 
-    def _give_up_unsent(self, orders: list[tuple[Start, Attempt]], reason: str) -> None:
+    def _abandon_unsent(self, orders: list[tuple[Start, Attempt]], reason: str) -> None:
         for start, attempt in orders:
             if start.task.attempt is attempt:
                 self._give_up(attempt, reason)
 
     async def _name_places(self, orders: list[tuple[Start, Attempt]]) -> bool:
-        """Have the store name the executors of a group for its tasks; False if it does not.
+        """Record the executors of a group's tasks; return False if the store does not accept it.
 
-        A next owner would else know nothing of them, and have to start no job while one executor is
-        silent.
+        The next owner needs this to know which tasks may be at an executor that is unresponsive.
         """
         job = orders[0][0].job
-        wanted = job.name_places(attempt for _, attempt in orders)
-        starts = {open_start(attempt) for _, attempt in orders if attempt.life.born}
+        wanted = job.locate_attempts(attempt for _, attempt in orders)
+        starts = {to_open_start(attempt) for _, attempt in orders if attempt.life.born}
         is_named = job.places.covers(wanted) and job.places.covers_starts(starts)
         if is_named and not job.places.inherited:
             return True
         self.cell.recorder.mark(job)
-        until = trio.current_time() + NAMING_PATIENCE_S
+        until = trio.current_time() + NAMING_TIMEOUT_S
         while trio.current_time() < until and self.cell.parts.is_naming():
-            with trio.move_on_after(NAMING_LOOK_S):
+            with trio.move_on_after(NAMING_POLL_S):
                 await self.cell.recorder.wait_named(job, wanted, starts)
                 return True
         return job.places.covers(wanted)
@@ -147,7 +148,8 @@
         payload = start.job.spec.payload
         if start.task.crashes and not await self._record_trial(start, attempt):
             return
-        # One for all sends: a later one would put off the time after which none is carried out.
+        # All sends share one deadline, as a later one would extend the time in which they may be
+        # executed.
         until = state.deadline_ms(trio.current_time(), self.cell.parts.timing.hold_s)
         if until is None:
             self._give_up(attempt, "its executor may not be held")
@@ -156,11 +158,11 @@
             if attempt.phase is not Phase.STARTING or start.task.attempt is not attempt:
                 self._close_unsent(attempt)
                 return
-            if not self.cell.parts.may_order():
+            if not self.cell.parts.may_send_orders():
                 break
-            hindrance = self._find_hindrance(state)
-            if hindrance is not None:
-                self._give_up(attempt, hindrance)
+            obstacle = self._find_obstacle(state)
+            if obstacle is not None:
+                self._give_up(attempt, obstacle)
                 return
             now = trio.current_time()
             order = StartOrder(
@@ -195,8 +197,8 @@
         else:
             self._close_unsent(attempt)
 
-    def _find_hindrance(self, state: ExecutorState) -> str | None:
-        """Return what has come to stand against a start at an executor since it was decided."""
+    def _find_obstacle(self, state: ExecutorState) -> str | None:
+        """Return the reason why an executor can't take a start any more, None if it can."""
         if state.dead:
             return "its executor has started again"
         if self.cell.is_evacuated(state):
@@ -204,10 +206,10 @@
         return "its entry names no executor to use" if state.is_set_aside else None
 
     def _close_unsent(self, attempt: Attempt) -> None:
-        """End an attempt that is to be stopped though no send of it has had an effect, or will.
+        """Close an attempt that is to be stopped if none of its sends had, or can have, an effect.
 
-        Nobody answers a stop at an executor that is down, and its gang stood until another life
-        did.
+        No stop could be answered at an executor that is down, and its gang would wait for a new
+        instance.
         """
         state = self.cell.executors.get(attempt.executor)
         is_held = state is not None and state.holds(attempt)
@@ -215,12 +217,12 @@
             self.cell.close(attempt, "no send of its start had an effect")
 
     async def _record_trial(self, start: Start, attempt: Attempt) -> bool:
-        """Have the store name the executor that a suspect is started at; False if it does not.
+        """Record the executor at which a suspect task is started; return False if that times out.
 
-        An owner that is gone before it could note the crash would leave the next one ignorant.
+        The next owner would otherwise miss a crash if this owner is gone before it can record it.
         """
         self.cell.crashes.begin_trial(attempt.task, attempt.life)
-        with trio.move_on_after(TRIAL_PATIENCE_S):
+        with trio.move_on_after(TRIAL_RECORD_TIMEOUT_S):
             await self.cell.recorder.wait_recorded()
         if start.job.crash_notes_recorded == start.job.crash_notes:
             return True
@@ -229,11 +231,11 @@
         return False
 
     def _give_up(self, attempt: Attempt, reason: str) -> None:
-        """End an attempt whose start came to nothing as far as anybody can tell.
+        """End an attempt whose start apparently failed.
 
-        A send without an answer may be carried out seconds later, after newer ones and beside the
-        task's next run. Only an answered stop, a listed end or the end of the holding time rules
-        that out; that another send was refused, or that a report does not name the run, does not.
+        A send without an answer may be carried out seconds later, beside the task's next run. Only
+        an acknowledged stop, a reported end or an expired lease rules that out. A refusal of
+        another send, or a report that does not list the run, does not.
         """
         state = self.cell.executors.get(attempt.executor)
         if attempt.unanswered and state is not None and not state.dead:
@@ -253,13 +255,14 @@
                 attempt.phase = Phase.RUNNING
                 attempt.settled_at = now
                 attempt.moved_at = now
-            if attempt.life.born and not list_starts_under_way(start.job):
-                # A next owner would hold its tasks to where these starts went.
+            if attempt.life.born and not list_pending_starts(start.job):
+                # The next owner would otherwise restrict the tasks to the executors of these
+                # starts.
                 self.cell.recorder.mark(start.job)
             return
         attempt.refused_sends += 1
-        self.cell.late_starts.note_turned_away(attempt.task)
-        reason = _reason(outcome)
+        self.cell.late_starts.note_start_refused(attempt.task)
+        reason = _describe_outcome(outcome)
         is_over = isinstance(outcome, Refused) and outcome.reason is Refusal.OLD_RUN
         log_event(
             "start.refused",
@@ -271,36 +274,37 @@
         if isinstance(outcome, Refused) and outcome.reason is Refusal.FENCED:
             self._depose()
             return
-        self._note_refusal(attempt, state, outcome, now)
+        self._apply_refusal(attempt, state, outcome, now)
         if start.task.attempt is not attempt:
             return
         if is_over:
-            # No send of it has an effect any more. It may have ended done: the next report says so.
+            # No send can have an effect any more. The run may have ended already, which the next
+            # report shows.
             attempt.settled_at = now
             self.cell.late_starts.note_refused(attempt.life, attempt.task, attempt.run)
             state.wake.set()
         else:
             self._give_up(attempt, f"refused: {reason}")
 
-    def _note_refusal(
+    def _apply_refusal(
         self, attempt: Attempt, state: ExecutorState, outcome: OrderOutcome, now: float
     ) -> None:
-        """Take in what a refusal says of its executor."""
+        """Update an executor's state after it refused an order."""
         if isinstance(outcome, Unhealthy):
             state.note_bad(now)
         elif isinstance(outcome, OtherLife):
-            state.note_over()
+            state.mark_ended()
         elif isinstance(outcome, Refused) and outcome.reason is Refusal.NOT_APPROVED:
             self.cell.approvals.drop(attempt.task._replace(member=0), state.life)
         else:
-            state.rest_until = max(state.rest_until, now + NO_ROOM_REST_S)
+            state.rest_until = max(state.rest_until, now + REFUSAL_BACKOFF_S)
 
     async def run_stops(self) -> None:
-        """Start a task for each stop that is wanted, until cancelled."""
+        """Start a trio task for each requested stop, until cancelled."""
         while True:
-            await self.cell.stop_wanted.wait()
-            self.cell.stop_wanted = trio.Event()
-            wanted, self.cell.to_stop = self.cell.to_stop, []
+            await self.cell.stops_requested.wait()
+            self.cell.stops_requested = trio.Event()
+            wanted, self.cell.pending_stops = self.cell.pending_stops, []
             for attempt, reason in wanted:
                 log_event(
                     "stop.decided",
@@ -317,7 +321,7 @@
             state = self.cell.executors.get(attempt.executor)
             if state is None or not state.holds(attempt):
                 return
-            if self.cell.parts.may_order():
+            if self.cell.parts.may_send_orders():
                 order = StopOrder(attempt.task, attempt.run, self.cell.term.number)
                 now, sends = trio.current_time(), sends + 1
                 outcome = await self.cell.parts.link.stop(state.executor, order)
@@ -329,8 +333,8 @@
     def _log_send(
         self, order: str, attempt: Attempt, number: int, sent: float, outcome: OrderOutcome
     ) -> None:
-        """Count one send of an order, and log it unless it was obeyed at once."""
-        self.cell.parts.statistics.count("orders", f"{order} {_reason(outcome)}")
+        """Count a send of an order, and log it unless the first one was acknowledged."""
+        self.cell.parts.statistics.count("orders", f"{order} {_describe_outcome(outcome)}")
         if number == 1 and isinstance(outcome, Obeyed):
             return
         log_event(
@@ -338,7 +342,7 @@
             **describe_run(attempt.task, attempt.run, attempt.life),
             order=order,
             send=number,
-            outcome=_reason(outcome),
+            outcome=_describe_outcome(outcome),
             took_s=round(trio.current_time() - sent, 3),
             age_s=round(trio.current_time() - attempt.ordered_at, 3),
             term=self.cell.term.number,
@@ -353,7 +357,7 @@
                 state.stop_settled.set()
             return True
         if isinstance(outcome, OtherLife):
-            state.note_over()
+            state.mark_ended()
             return True
         if isinstance(outcome, Refused) and outcome.reason is Refusal.FENCED:
             self._depose()
@@ -362,14 +366,14 @@
 
 
 def _choose_checkpoint(group: list[Start]) -> str:
-    """Return the newest checkpoint; any member's is good for its whole gang."""
+    """Return the newest checkpoint; the members of a gang share theirs."""
     newest = max(
         group, key=lambda start: start.task.checkpoint_run if start.task.checkpoint else -1
     )
     return newest.task.checkpoint
 
 
-def _reason(outcome: OrderOutcome) -> str:
+def _describe_outcome(outcome: OrderOutcome) -> str:
     if isinstance(outcome, Obeyed):
         return "obeyed"
     if isinstance(outcome, Unanswered):
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/owned.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/owned.py
@@ -1,4 +1,4 @@
-"""What an owner of the cell has in memory, and the changes that ends and news make to it."""
+"""The state that an owner of the cell keeps in memory, and how events change it."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 
 from .approval import Approvals, Approver, NoApprover
 from .crashes import Crashes
-from .doubts import Deadlines, is_last_of_its_id, list_lapsed, list_unsure
+from .doubts import Deadlines, is_sole_instance, list_lapsed, list_unsure
 from .entries import DirectoryFormat
 from .evacuation import Evacuations
 from .events import describe_run, log_event
 from .executor_link import EndedRun, EndKind, ExecutorLink
-from .fleet import LONGEST_REST_S, ExecutorState
+from .fleet import MAX_BACKOFF_S, ExecutorState
 from .keystore import KeyStore
-from .late_starts import LATE_ORDER_S, LateStarts
+from .late_starts import MAX_ORDER_DELAY_S, LateStarts
 from .model import NOTHING, DesiredState, OpenStart, TaskKey
 from .policy import DEFAULT_POLICY, Policy
 from .progress import (
@@ -27,11 +27,11 @@
     JobState,
     Phase,
     TaskState,
-    list_starts_under_way,
-    longest_chain_s,
+    critical_path_s,
+    list_pending_starts,
     make_job,
 )
-from .record import JobRecord, round_left_s
+from .record import JobRecord, round_remaining_s
 from .recorder import Recorder
 from .relay import StoreRelay
 from .stands import KnownStands
@@ -40,29 +40,31 @@
 from .tenure import Term
 
 JOB_PREFIX = "job/"
-LATE_OWNER_S = 1.2
-"""For how long an earlier owner may still give orders after the next one's term began."""
+STALE_OWNER_S = 1.2
+"""How long an earlier owner may keep sending orders after the next term began."""
 SLOW_FACTOR = 1.05
-"""By how much a holding time may outlast what was asked for, on an executor's own clock."""
+"""How much longer a lease may last than requested, because of the executor's own clock."""
 RUNS_PER_TERM = 1000
-AVOID_S = 2.0
-"""Callers bear 3 s of a job with nothing running; a task may have failed wherever there is room."""
-BAD_AFTER_FAILURES = 2
-RESTING_PART = 3
-COMMON_REST_S = 2.0
-SURE_AFTER_JOBS = 3
-"""If more than one in so many executors of a pool rest, a further one rests no longer than that (s)
-unless so many jobs have failed there in a row: what is run may be at fault, and a pool that rests
-is kept from all others, who bear 3 s."""
+AVOID_AFTER_FAILURE_S = 2.0
+"""How long a task avoids an executor where it failed; short, as the task may fail everywhere."""
+BACKOFF_AFTER_FAILURES = 2
+BACKED_OFF_DIVISOR = 3
+POOL_WIDE_BACKOFF_S = 2.0
+BLAME_EXECUTOR_AFTER_JOBS = 3
+"""How many jobs must fail in a row before an executor alone is blamed.
+
+If more than one in `BACKED_OFF_DIVISOR` executors of a pool back off, another one backs off for
+`POOL_WIDE_BACKOFF_S` at most until then: the job may be at fault, and would block the pool.
+"""
 
 
 def job_key(job_id: str) -> str:
-    """Return the key of an accepted job."""
+    """Return the store key of an accepted job."""
     return f"{JOB_PREFIX}{job_id}"
 
 
-def _age_at_silence(attempt: Attempt, state: ExecutorState | None) -> float | None:
-    """Return how old an attempt was (s) as its executor fell silent, None if it did not."""
+def _age_when_unresponsive(attempt: Attempt, state: ExecutorState | None) -> float | None:
+    """Return an attempt's age (s) when its executor became unresponsive, None if it did not."""
     if state is None or state.silent_since is None:
         return None
     return round(state.silent_since - attempt.ordered_at, 3)
@@ -70,13 +72,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Timing:
-    """Times in seconds that the deployment sets.
+    """Deployment timing settings, in seconds.
 
-    `hold_s` is how long an executor is asked to keep what runs without hearing from its owner, and
-    `longest_hold_s` what it cuts any such time to;
-    `stop_s` what a stop may take; `far_factor` is how many times as long work takes away
-    from its data, or a gang that should share a rack and does not. `retention_s` is how long
-    a final job is remembered.
+    `hold_s` is the lease that an executor is asked for, `longest_hold_s` the longest one that it
+    grants, and `stop_s` the time that a stop may take. `far_factor` is the slowdown of a task away
+    from its data, or of a same-rack gang that is spread over racks. `retention_s` is how long a
+    final job is kept.
     """
 
     hold_s: float = 6.0
@@ -87,17 +88,17 @@
     retention_s: float = 600.0
 
     @property
-    def longest_unheard_s(self) -> float:
-        """For how long runs of an earlier owner may go on after the next term began."""
-        return LATE_OWNER_S + self.hold_s * SLOW_FACTOR
+    def max_unreported_run_s(self) -> float:
+        """How long runs of an earlier owner may continue after the next term began."""
+        return STALE_OWNER_S + self.hold_s * SLOW_FACTOR
 
 
 @dataclass(frozen=True, slots=True)
 class OwnerParts:
-    """What an owner is given.
+    """The dependencies of an owner.
 
-    `relay` does a write by another way than this host's own to the store; `is_naming` tells whether
-    writes can be made by either.
+    `relay` writes to the store by way of another host. `is_naming` returns whether either way to
+    the store accepts writes.
     """
 
     store: KeyStore
@@ -106,12 +107,12 @@
     timing: Timing
     wall_clock: Callable[[], float]
     desired: Callable[[], DesiredState]
-    may_order: Callable[[], bool]
+    may_send_orders: Callable[[], bool]
     statistics: Statistics
     approver: Approver = field(default_factory=NoApprover)
     policy: Policy = DEFAULT_POLICY
-    store_returned_at: Callable[[], float] = lambda: float("inf")
-    is_store_answering: Callable[[], bool] = lambda: True
+    store_recovered_at: Callable[[], float] = lambda: float("inf")
+    is_store_available: Callable[[], bool] = lambda: True
     is_naming: Callable[[], bool] = lambda: True
     relay: StoreRelay | None = None
     evacuations: Evacuations = field(default_factory=Evacuations)
@@ -120,7 +121,7 @@
 
 
 class OwnedCell:
-    """Jobs and executors of one term, and what follows from each piece of news."""
+    """The jobs and executors of one term."""
 
     def __init__(self, parts: OwnerParts, term: Term) -> None:
         self.parts = parts
@@ -132,30 +133,30 @@
         self.changed = trio.Event()
         self.use_changed = trio.Event()
         self.approvals = Approvals(parts.approver, self.wake_planner)
-        self.to_stop: list[tuple[Attempt, str]] = []
-        self.stop_wanted = trio.Event()
+        self.pending_stops: list[tuple[Attempt, str]] = []
+        self.stops_requested = trio.Event()
         self.late_starts = LateStarts()
         now = trio.current_time()
-        self.late_until = now + LATE_ORDER_S
-        self.unheard_until = now + parts.timing.longest_unheard_s
-        self.crashes = Crashes(self.find_task, self._note_crash, parts.statistics)
+        self.late_orders_until = now + MAX_ORDER_DELAY_S
+        self.unreported_runs_until = now + parts.timing.max_unreported_run_s
+        self.crashes = Crashes(self.find_task, self._handle_crash, parts.statistics)
 
     def wake_planner(self) -> None:
-        """Have a plan made soon."""
+        """Request a new plan."""
         self.changed.set()
 
     def note_use(self) -> None:
-        """Have the executors in use written down anew if they are others now."""
+        """Request an update of the recorded executors in use."""
         self.use_changed.set()
 
     # Evacuation
 
     def is_evacuated(self, state: ExecutorState) -> bool:
-        """Whether an executor is to be given no start now."""
+        """Return whether the executor's failure domain is evacuated."""
         return state.executor.zone in self.parts.evacuations.domains
 
     def note_evacuations(self) -> None:
-        """Have plans count on the executors outside of evacuated domains only."""
+        """Apply the evacuated failure domains to all executors."""
         for state in self.executors.values():
             state.evacuated = self.is_evacuated(state)
         self.wake_planner()
@@ -163,9 +164,9 @@
     # Jobs
 
     def note_job(self, record: JobRecord, created: int = 0) -> None:
-        """Take in an accepted job, or that it is to be cancelled.
+        """Add an accepted job, or apply its cancellation.
 
-        `created` is the store's revision at which it was taken in, 0 if not known.
+        `created` is the store revision at which the job was accepted, 0 if unknown.
         """
         job = self.jobs.get(record.spec.id)
         if job is None:
@@ -179,7 +180,7 @@
         self.wake_planner()
 
     def forget(self, job: JobState) -> None:
-        """Neither plan nor show a job, as if it had not been taken in."""
+        """Remove a job from the plan and from all listings."""
         self.jobs.pop(job.spec.id, None)
         self.active.pop(job.spec.id, None)
 
@@ -190,7 +191,7 @@
             job=job.spec.id,
             queue=queue.name,
             priority=queue.priority,
-            chain_s=round(longest_chain_s(job.spec), 3),
+            chain_s=round(critical_path_s(job.spec), 3),
             stretch=queue.stretch,
             target_s=queue.target_s,
             tasks=sum(step.spec.count for step in job.steps),
@@ -200,12 +201,12 @@
     def restore_starts(
         self, job: JobState, starts: Collection[OpenStart], left_s: float | None
     ) -> None:
-        """Take over which starts of a job an earlier owner may have had no answer to.
+        """Restore the starts of a job that an earlier owner may have left without an answer.
 
-        Those that it had sent before are late for no longer than it has noted: counted anew, a task
-        was kept back for as long as owners changed.
+        `left_s` is the recorded time for which they may still be late. It is not counted from the
+        start of this term, so that frequent takeovers do not delay the task without limit.
         """
-        until = self.late_until
+        until = self.late_orders_until
         if left_s is not None:
             until = min(until, trio.current_time() + left_s)
         for executor, step, member, occurrence in starts:
@@ -216,48 +217,48 @@
     # Crashes
 
     def restore_crashes(self, job: JobState) -> None:
-        """Take over what an earlier owner noted of executors that crashed under a job's tasks."""
+        """Restore the crashes that an earlier owner recorded for a job's tasks."""
         for step in job.steps:
             for task in step.tasks if step.has_suspects else ():
                 self.crashes.restore(job.key_of(step, task), task)
 
-    def _note_crash(self, key: TaskKey) -> None:
+    def _handle_crash(self, key: TaskKey) -> None:
         job = self.jobs.get(key.job)
         if job is not None and job.spec.id in self.active:
             job.crash_notes += 1
             self._settle(job)
 
-    def give_up_crashing(self) -> None:
-        """Fail the jobs of which a task has crashed executors so often that it is not started.
+    def fail_crashing_jobs(self) -> None:
+        """Fail the jobs with a task that has crashed too many executors.
 
-        To be called once no executor that a task is blamed for can report again.
+        Call this only once no executor that a task is blamed for can report again.
         """
         for job in list(self.active.values()):
-            self._give_up_job(job)
+            self._fail_if_crashing(job)
 
-    def note_life_over(self, state: ExecutorState) -> None:
-        """Take in that an executor is no more, and give up the tasks that crashed one again."""
+    def handle_instance_end(self, state: ExecutorState) -> None:
+        """Record the end of an executor instance, and fail the tasks that crashed too many."""
         if state.dead:
             self.crashes.confirm(state, trio.current_time())
         else:
-            # It fell silent and its entry went before its holding time was over: else such a crash
-            # is not counted, and three gangs crashed 420 executors in 240 s instead of 39.
+            # The entry was removed before the lease ended. Without this the crash would not be
+            # counted.
             self.crashes.note_down(state)
-        self.give_up_at(state)
+        self.fail_crashing_jobs_at(state)
 
-    def give_up_at(self, state: ExecutorState) -> None:
-        """Fail the jobs that were at an executor as it fell silent and may not start any more."""
+    def fail_crashing_jobs_at(self, state: ExecutorState) -> None:
+        """Fail the crashing jobs among those at an executor when it became unresponsive."""
         for name in {attempt.task.job for attempt, _ in state.at_silence}:
             job = self.active.get(name)
             if job is not None:
-                self._give_up_job(job)
+                self._fail_if_crashing(job)
 
     def count_suspects(self) -> int:
-        """Return how many tasks of active jobs there are under which executors have crashed."""
+        """Return the number of tasks of active jobs that executors have crashed under."""
         steps = (s for job in self.active.values() for s in job.steps if s.has_suspects)
         return sum(bool(task.crashes) for step in steps for task in step.tasks)
 
-    def _give_up_job(self, job: JobState) -> None:
+    def _fail_if_crashing(self, job: JobState) -> None:
         for step in job.steps:
             for task in step.tasks if step.has_suspects else ():
                 if not task.is_given_up or not job.is_active:
@@ -285,7 +286,7 @@
             self.request_stop(attempt, reason)
 
     def _settle(self, job: JobState) -> None:
-        """Record what changed; a job that can't change any more is no longer planned."""
+        """Mark a job for recording, and stop planning it once its status is final."""
         self.recorder.mark(job)
         if job.status.is_final and self.active.pop(job.spec.id, None) is not None:
             self._count_end(job)
@@ -307,11 +308,10 @@
         )
 
     def find_doubt(self) -> Callable[[TaskKey], bool] | None:
-        """Return whether a run of a task may be at a silent executor, or yet be begun there.
+        """Return a check whether a task may run, or still be started, at an unresponsive executor.
 
-        None if there is no such executor: each is out of it once heard, or once its holding
-        time is over. A job taken in after this owner's term began was never an earlier owner's
-        to start; of the others the store names for each task the executors.
+        None if there is no such executor. Jobs accepted in this term are never affected. For the
+        others the store lists the executors of each task.
         """
         silent, unsure = self.silent(), self.list_unsure()
         if not silent and not unsure:
@@ -328,25 +328,27 @@
             if may_hold_any or task in held:
                 return True
             if task.job not in doubtful:
-                doubtful[task.job] = job.places.find_doubtful(named, unsure)
+                doubtful[task.job] = job.places.find_uncertain(named, unsure)
             return bool(job.mask_of(task) & doubtful[task.job])
 
         return may_run
 
     def list_unsure(self) -> frozenset[str]:
-        """Return the executors at which another life may be that has not heard this owner yet."""
+        """Return the executors that may have a new instance unaware of this owner's token."""
         return list_unsure(self.executors.values(), self._find_deadlines())
 
     def _find_deadlines(self) -> Deadlines:
         hold_s = self.parts.timing.hold_s
-        return Deadlines(trio.current_time(), hold_s, self.late_until, self.unheard_until)
+        return Deadlines(
+            trio.current_time(), hold_s, self.late_orders_until, self.unreported_runs_until
+        )
 
-    def is_late_start_expected(self, state: ExecutorState) -> bool:
-        """Whether an earlier owner's start may yet come to an executor, of a job that is active.
+    def may_receive_late_start(self, state: ExecutorState) -> bool:
+        """Return whether a start of an earlier owner for an active job may still reach an executor.
 
-        If its life ends, that is to be known before such a job is started elsewhere.
+        The end of such an executor's instance must be noticed before the job is started elsewhere.
         """
-        if trio.current_time() >= self.late_until or is_last_of_its_id(state):
+        if trio.current_time() >= self.late_orders_until or is_sole_instance(state):
             return False
         starts = self.late_starts.list_open(state.id)
         if any(start.is_inherited and start.task.job in self.active for start in starts):
@@ -354,25 +356,25 @@
         return any(state.id in job.places.earlier for job in self.active.values())
 
     def _update_places(self, jobs: Collection[JobState]) -> None:
-        """Bring up to date what the store is to name for the next owner of some jobs."""
+        """Update the placements that are to be recorded for the next owner of some jobs."""
         silent = self.list_silent_ids()
         may_share_ids = any(state.life.born for state in self.executors.values())
         for job in jobs:
-            job.places.drop_known(silent)
-            late, left_s = self.late_starts.list_job(job.spec.id)
+            job.places.drop_resolved(silent)
+            late, left_s = self.late_starts.list_open_of_job(job.spec.id)
             job.places.late = self._find_late(job, late)
             if may_share_ids:
-                under_way = list_starts_under_way(job)
+                under_way = list_pending_starts(job)
                 job.places.starts = late | under_way
-                job.places.starts_left_s = None if under_way else round_left_s(left_s)
+                job.places.starts_left_s = None if under_way else round_remaining_s(left_s)
 
     def _find_late(self, job: JobState, starts: Collection[OpenStart]) -> Names:
-        """Return where a start of a job may yet be carried out, by any owner, or a stray of it is.
+        """Return where starts of a job may still be carried out late, or orphaned runs of it exist.
 
-        Those of earlier owners are dropped where nothing can come of their orders any more.
+        Entries of earlier owners are dropped where their orders can have no effect any more.
         """
         deadlines, places = self._find_deadlines(), job.places
-        if deadlines.now >= self.late_until:
+        if deadlines.now >= self.late_orders_until:
             places.earlier = {}
         elif places.earlier:
             lapsed = list_lapsed(list(places.earlier), self.executors, deadlines)
@@ -381,21 +383,21 @@
         return unite(
             places.earlier,
             *({start.executor: job.mask_of(start)} for start in starts),
-            job.name_places(stray for stray in strays if stray.task.job == job.spec.id),
+            job.locate_attempts(stray for stray in strays if stray.task.job == job.spec.id),
         )
 
     def list_silent_ids(self) -> set[str]:
-        """Return the ids of the executors of an earlier owner of which nothing is known yet."""
+        """Return the ids of inherited executors that have not reported yet."""
         return {state.id for state in self.silent()}
 
     def find_withheld(self) -> Callable[[TaskKey], bool] | None:
-        """Return which tasks are not to be started now; None for none.
+        """Return a check for the tasks that must not be started now; None if there are none.
 
-        Those that may run already; and without the store those under which executors have
-        crashed, as the next crash could not be kept for the next owner.
+        These are tasks that may already run, and, while the store is unavailable, tasks under which
+        executors have crashed, as another crash could not be recorded.
         """
         may_run = self.find_doubt()
-        if self.parts.is_store_answering():
+        if self.parts.is_store_available():
             return may_run
 
         def is_withheld(key: TaskKey) -> bool:
@@ -406,11 +408,11 @@
         return is_withheld
 
     def find_pins(self) -> dict[TaskKey, str]:
-        """Return for each task that has open starts where alone it may be started, if anywhere."""
+        """Return the only executor allowed for each task that has unresolved starts."""
         return self.late_starts.find_pins(self.executors, self.list_unsure())
 
     def silent(self) -> list[ExecutorState]:
-        """Return the executors of an earlier owner of which nothing is known yet."""
+        """Return the inherited executors that have not reported and may still run something."""
         now = trio.current_time()
         return [
             state
@@ -420,8 +422,8 @@
 
     # Attempts
 
-    def next_run(self, tasks: list[TaskState]) -> int:
-        """Return a run number above all earlier ones of the tasks, in any term."""
+    def allocate_run(self, tasks: list[TaskState]) -> int:
+        """Return a run number that is above all earlier ones of the tasks, in any term."""
         floor = (self.term.number - 1) * RUNS_PER_TERM
         run = max(floor, *(task.last_run for task in tasks)) + 1
         for task in tasks:
@@ -429,12 +431,12 @@
         return run
 
     def place(self, task: TaskState, attempt: Attempt, state: ExecutorState) -> None:
-        """Note that an attempt is, or may be, at an executor."""
+        """Record that an attempt is, or may be, at an executor."""
         task.attempt = attempt
         state.occupy(attempt)
 
     def close(self, attempt: Attempt, why: str) -> None:
-        """Note that an attempt is nowhere any more."""
+        """Record that an attempt is over, and release its resources."""
         state = self.executors.get(attempt.executor)
         if state is not None:
             state.release(attempt)
@@ -442,7 +444,7 @@
         if task is not None and task.attempt is attempt:
             task.attempt = None
             job = self.jobs[attempt.task.job]
-            job.places.note_left(attempt.executor, job.mask_of(attempt.task))
+            job.places.add_left(attempt.executor, job.mask_of(attempt.task))
         self.crashes.end_trial(attempt.task, attempt.life)
         log_event(
             "attempt.closed",
@@ -453,26 +455,26 @@
             sends=attempt.sends,
             unanswered=attempt.unanswered,
             age_s=round(trio.current_time() - attempt.ordered_at, 3),
-            silent_at_s=_age_at_silence(attempt, state),
+            silent_at_s=_age_when_unresponsive(attempt, state),
             why=why,
         )
         self.wake_planner()
 
     def request_stop(self, attempt: Attempt, reason: str) -> None:
-        """Have an attempt stopped."""
+        """Queue a stop of an attempt."""
         if attempt.phase is not Phase.STOPPING:
             attempt.phase = Phase.STOPPING
             attempt.stop_reason = reason
             attempt.settled_at = UNSETTLED
             self.parts.statistics.count("stops", reason)
-            self.to_stop.append((attempt, reason))
-            self.stop_wanted.set()
+            self.pending_stops.append((attempt, reason))
+            self.stops_requested.set()
 
-    def stop_astray(self, state: ExecutorState, task: TaskKey, run: int) -> None:
-        """Have a run stopped that an executor names and that is not its task's attempt.
+    def stop_orphan(self, state: ExecutorState, task: TaskKey, run: int) -> None:
+        """Stop a run that an executor reports but that is not its task's current attempt.
 
-        Left alone it works beside the task's own run, or on after its job's end, until the
-        executor's holding time runs out, which every other run there puts off.
+        It would otherwise run beside the task's own attempt, or after its job's end, for as long as
+        the executor's lease is renewed.
         """
         if (task, run) in state.strays:
             return
@@ -485,17 +487,17 @@
         self.request_stop(attempt, "not its task's attempt")
 
     def stop_late_starts(self, state: ExecutorState) -> None:
-        """Have starts without an answer stopped at an executor that may be another life now.
+        """Stop unanswered starts at an executor that may have a new instance.
 
-        One that an earlier life had been told to stop would else run beside its task's next run.
+        A new instance does not know which starts the previous one was told to stop.
         """
         held = {(attempt.task, attempt.run) for attempt in state.list_held()}
         for start in self.late_starts.list_open(state.id):
             if not start.is_inherited and (start.task, start.run) not in held:
-                self.stop_astray(state, start.task, start.run)
+                self.stop_orphan(state, start.task, start.run)
 
     def stop_gang(self, attempt: Attempt, reason: str) -> None:
-        """Have the other members of an attempt's gang run stopped."""
+        """Stop the other members of an attempt's gang run."""
         job = self.jobs.get(attempt.task.job)
         if job is None or not job.step_of(attempt.task).spec.gang:
             return
@@ -509,7 +511,7 @@
         job = self.jobs.get(key.job)
         return job.task(key) if job else None
 
-    def note_checkpoint(self, task: TaskState, run: int, checkpoint: str) -> None:
+    def update_checkpoint(self, task: TaskState, run: int, checkpoint: str) -> None:
         """Keep the newest checkpoint of a task."""
         if checkpoint and run >= task.checkpoint_run:
             task.checkpoint = checkpoint
@@ -518,7 +520,7 @@
     # Ends
 
     def note_end(self, state: ExecutorState, end: EndedRun) -> None:
-        """Take in one end that an executor lists."""
+        """Process an ended run that an executor reports."""
         job = self.jobs.get(end.task.job)
         task = self.find_task(end.task)
         stray = state.strays.get((end.task, end.run))
@@ -533,12 +535,12 @@
         attempt = task.attempt
         is_current = attempt is not None and attempt.run == end.run
         if is_current and attempt is not None:
-            if not attempt.seen and attempt.is_one_send_open:
+            if not attempt.seen and attempt.has_single_unresolved_send:
                 self.late_starts.settle(attempt)
             self.close(attempt, end.kind.value)
         elif stray is None:
-            self._log_end_only(state, end)
-        self.note_checkpoint(task, end.run, end.checkpoint)
+            self._log_unowned_end(state, end)
+        self.update_checkpoint(task, end.run, end.checkpoint)
         if end.kind is EndKind.DONE:
             self._note_done(state, job, task, end)
         elif end.kind is EndKind.FAILED:
@@ -548,15 +550,15 @@
         if is_current and attempt is not None and end.kind is not EndKind.DONE:
             self.stop_gang(attempt, f"a member ended {end.kind.value}")
 
-    def _log_end_only(self, state: ExecutorState, end: EndedRun) -> None:
-        """Log an end of a run that this owner has no attempt of, as after a takeover."""
+    def _log_unowned_end(self, state: ExecutorState, end: EndedRun) -> None:
+        """Log the end of a run that has no attempt in this term, as after a takeover."""
         run = describe_run(end.task, end.run, state.life)
         log_event("attempt.ended", **run, why=end.kind.value)
 
     def _note_done(
         self, state: ExecutorState, job: JobState, task: TaskState, end: EndedRun
     ) -> None:
-        state.note_good()
+        state.reset_backoff()
         step = job.step_of(end.task)
         if step.spec.lasting or task.done:
             return
@@ -569,26 +571,28 @@
         self._settle(job)
 
     def _is_at_fault(self, state: ExecutorState, now: float) -> bool:
-        """Whether it is the executor at which runs fail, and not what is given to all.
+        """Return whether the executor, and not the job, is the likely cause of failures.
 
-        Several jobs have failed there in a row, or few others of its pool rest.
+        True if several jobs failed there in a row, or few other executors of its pool back off.
         """
-        if len(state.failed_jobs) >= SURE_AFTER_JOBS:
+        if len(state.failed_jobs) >= BLAME_EXECUTOR_AFTER_JOBS:
             return True
         pool = [s for s in self.executors.values() if s.executor.pool == state.executor.pool]
         resting = sum(s is not state and now < s.rest_until for s in pool)
-        return resting < max(len(pool) // RESTING_PART, min(1, len(pool) - 1))
+        return resting < max(len(pool) // BACKED_OFF_DIVISOR, min(1, len(pool) - 1))
 
     def _note_failed(
         self, state: ExecutorState, job: JobState, task: TaskState, end: EndedRun
     ) -> None:
         now = trio.current_time()
-        task.avoid[state.id] = now + AVOID_S
+        task.avoid[state.id] = now + AVOID_AFTER_FAILURE_S
         state.failed_streak += 1
-        if len(state.failed_jobs) < SURE_AFTER_JOBS:
+        if len(state.failed_jobs) < BLAME_EXECUTOR_AFTER_JOBS:
             state.failed_jobs.add(end.task.job)
-        if state.failed_streak >= BAD_AFTER_FAILURES:
-            state.note_bad(now, LONGEST_REST_S if self._is_at_fault(state, now) else COMMON_REST_S)
+        if state.failed_streak >= BACKOFF_AFTER_FAILURES:
+            state.note_bad(
+                now, MAX_BACKOFF_S if self._is_at_fault(state, now) else POOL_WIDE_BACKOFF_S
+            )
         step = job.step_of(end.task)
         if end.run in task.failed_runs or step.spec.lasting:
             return
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/owner.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/owner.py
@@ -1,4 +1,4 @@
-"""The owner of the cell: takes everything over, then decides until it is deposed."""
+"""The owner of the cell: loads the state at a takeover, then plans until it is deposed."""
 
 from __future__ import annotations
 
@@ -44,22 +44,23 @@
 COALESCE_S = 0.012
 PLAN_EVERY_S = 0.5
 PLAN_BUDGET_S = 0.02
-"""After so long, other tasks get a turn before a plan goes on: leases, reports, answers."""
-FIRST_HEARING_S = 0.04
+"""How long planning may run before other tasks (leases, reports, answers) get a turn."""
+FIRST_REPORTS_S = 0.04
 LONG_BARRIER_S = 1.0
 TOLD_EVERY_S = 2.0
 URGENT_WINDOW_S = 12.0
-LATE_NOTED_EACH_S = 1.5
-NAMED_EACH_S = 0.5
+LATE_STARTS_WRITE_INTERVAL_S = 1.5
+NAMES_WRITE_INTERVAL_S = 0.5
 ENTRY_BACK_S = 2.0 + 0.5
-"""What the users' pages allow for an entry, and what its news may take to arrive here."""
+"""The documented time in which an executor rewrites its entry, and the delay of the notification.
+"""
 DIRECTORY_GATHER_S = 0.25
-"""Executors write every 1.5 s each; that one leaves is news for `drain_ms`, 2 s at least."""
+"""How long directory updates are batched; shorter than the minimum drain time of 2 s."""
 
 
 @dataclass(frozen=True, slots=True)
 class JobView:
-    """What may be told of a job; `stand` says why it stands, None if it is not known to."""
+    """The public view of a job; `stand` is the reason why it is delayed, None if unknown."""
 
     status: JobStatus
     tenant: str
@@ -77,31 +78,31 @@
         self._scope = trio.CancelScope()
         self._nursery: trio.Nursery | None = None
         self._orders: Orders | None = None
-        self._urgent = RecentPeaks(URGENT_WINDOW_S)
+        self._urgent_demand = RecentPeaks(URGENT_WINDOW_S)
         self._set_aside: set[str] = set()
-        self._used = UsedExecutors(self.cell, self.depose)
+        self._used_executors = UsedExecutors(self.cell, self.depose)
         self.waits = WaitWatch(self.cell)
-        self._named_at = trio.current_time()
-        self._waits_told_at = float("-inf")
+        self._names_written_at = trio.current_time()
+        self._waits_logged_at = float("-inf")
         self.directory = Directory(self.cell, parts.directory, self._watch)
 
     @property
     def is_settled(self) -> bool:
-        """Whether it decides, and no run of an earlier owner is in doubt."""
+        """Whether it plans, and every inherited executor has reported or expired."""
         return self.is_ready and not self.cell.silent()
 
     def depose(self) -> None:
-        """End this term: somebody else owns the cell, or nobody can tell."""
+        """End this term, because another host owns the cell or ownership can't be confirmed."""
         if not self._scope.cancel_called:
             log_event("owner.deposed", term=self.cell.term.number)
         self.is_ready = False
         self._scope.cancel()
 
     async def run(self) -> None:
-        """Take over, then decide until deposed."""
+        """Take over, then plan until deposed."""
         started = trio.current_time()
         with self._scope:
-            jobs = Follower(self.parts.store, JOB_PREFIX, self._take_jobs, self._take_job)
+            jobs = Follower(self.parts.store, JOB_PREFIX, self._load_jobs, self._apply_job_event)
             directory = Follower(
                 self.parts.store,
                 self.parts.directory.prefix,
@@ -134,7 +135,7 @@
                     self._watch(state)
                 nursery.start_soon(jobs.run)
                 nursery.start_soon(directory.run)
-                nursery.start_soon(self._used.run)
+                nursery.start_soon(self._used_executors.run)
                 nursery.start_soon(self._follow_evacuations)
                 nursery.start_soon(Housekeeping(self.cell).run)
                 nursery.start_soon(remove_old_jobs, self.cell)
@@ -142,9 +143,9 @@
                 nursery.start_soon(self.waits.run)
                 nursery.start_soon(Spares(self.cell).run)
                 self.is_ready = True
-                nursery.start_soon(self._pass_barrier)
-                nursery.start_soon(self._forget_earlier)
-                await trio.sleep(FIRST_HEARING_S)
+                nursery.start_soon(self._wait_for_earlier_runs)
+                nursery.start_soon(self._expire_late_starts)
+                await trio.sleep(FIRST_REPORTS_S)
                 await self._plan_for_ever()
         except* Deposed:
             self.depose()
@@ -152,11 +153,10 @@
     # Taking over
 
     async def _load(self, jobs: Follower, directory: Follower) -> None:
-        """Read everything side by side, then take it in.
+        """Read the whole state concurrently, then apply it.
 
-        All readings begin after the owner key was taken, so no earlier owner writes any more.
-        Evacuations are among them: what was asked before is in force from the first start on,
-        also at a host that has just started or was cut off from the store.
+        All reads begin after the owner key was acquired, so no earlier owner writes any more.
+        Evacuations are read as well, so that they are in force from the first start on.
         """
         found: dict[str, Listing] = {}
 
@@ -170,18 +170,18 @@
                 nursery.start_soon(fetch, prefix)
         for prefix in asks:
             self.parts.evacuations.take_listing(found[prefix], (prefix,))
-        if not self._used.take(found[USED_KEY]):
-            # Executors that can't be named can't be held either: what an earlier owner left there
-            # ends by itself.
-            await trio.sleep(self.parts.timing.longest_unheard_s)
+        if not self._used_executors.take(found[USED_KEY]):
+            # The executors in use are unknown, so wait until every lease of an earlier owner has
+            # expired.
+            await trio.sleep(self.parts.timing.max_unreported_run_s)
         jobs.begin(found[jobs.prefix])
         directory.begin(found[directory.prefix])
-        self._take_progress(found[PROGRESS_PREFIX])
+        self._load_progress(found[PROGRESS_PREFIX])
         self.cell.note_evacuations()
         self.cell.note_use()
 
     def _describe_unlisted(self) -> list[dict[str, Any]]:
-        """Describe executors of an earlier owner that have no entry now."""
+        """Describe inherited executors that have no entry now."""
         states = (state for state in self.cell.silent() if not state.listed)
         return describe_silences(states, trio.current_time())
 
@@ -192,7 +192,7 @@
                 return listing
             await trio.sleep(PAUSE_S)
 
-    def _take_progress(self, listing: Listing) -> None:
+    def _load_progress(self, listing: Listing) -> None:
         for item in listing.items:
             job = self.cell.jobs.get(item.key.removeprefix(PROGRESS_PREFIX))
             if job is not None:
@@ -204,7 +204,7 @@
                 self.cell.recorder.mark(job)
 
     def _restore(self, job: JobState, item: Item) -> None:
-        """Take over how far a job has come; set it aside if that can't be told."""
+        """Restore a job's progress, or set the job aside if the record can't be read."""
         record = decode_progress(item.value)
         if not isinstance(record, Unreadable) and job.fits(record):
             job.restore(record, item.revision)
@@ -216,10 +216,10 @@
         self._set_aside.add(job.spec.id)
         self.cell.forget(job)
 
-    async def _pass_barrier(self) -> None:
-        """Wait until every executor of an earlier owner was heard, or holds nothing any more.
+    async def _wait_for_earlier_runs(self) -> None:
+        """Wait until every inherited executor has reported, or its lease has expired.
 
-        Meanwhile only tasks are started that can't be at the silent ones.
+        Meanwhile only tasks that can't be at these executors are started.
         """
         started = trio.current_time()
         waited_for = [state.id for state in self.cell.silent()]
@@ -227,10 +227,10 @@
             await trio.sleep(0.02)
             self._drop_gone(started)
             self.cell.wake_planner()
-            self._tell_waits(trio.current_time() - started)
-            self._forget_heard()
-        self.cell.give_up_crashing()
-        self._name_anew()
+            self._log_barrier_wait(trio.current_time() - started)
+            self._drop_reported_names()
+        self.cell.fail_crashing_jobs()
+        self._drop_inherited_names()
         log_event(
             "owner.ready",
             term=self.cell.term.number,
@@ -239,12 +239,12 @@
             waited_for=waited_for,
         )
 
-    def _tell_waits(self, waited_s: float) -> None:
-        """Log now and then which executors of an earlier owner are waited for."""
+    def _log_barrier_wait(self, waited_s: float) -> None:
+        """Log periodically which inherited executors have not reported yet."""
         now = trio.current_time()
-        if waited_s < LONG_BARRIER_S or now - self._waits_told_at < TOLD_EVERY_S:
+        if waited_s < LONG_BARRIER_S or now - self._waits_logged_at < TOLD_EVERY_S:
             return
-        self._waits_told_at = now
+        self._waits_logged_at = now
         silent = self.cell.silent()
         log_event(
             "owner.waits",
@@ -255,51 +255,50 @@
             silences=describe_silences(silent, now),
         )
 
-    def _forget_heard(self) -> None:
-        """Have the store forget now and then what earlier owners named at executors now heard.
+    def _drop_reported_names(self) -> None:
+        """Remove placements periodically at inherited executors that have reported since.
 
-        One that falls silent with this owner would else withhold from the next one what is not
+        If one of them became unresponsive again, the next owner would withhold tasks that are not
         there.
         """
         now = trio.current_time()
-        if now - self._named_at < NAMED_EACH_S:
+        if now - self._names_written_at < NAMES_WRITE_INTERVAL_S:
             return
-        self._named_at = now
+        self._names_written_at = now
         silent = self.cell.list_silent_ids()
-        self._mark(lambda job: not job.has_attempts and job.places.names_beside(silent))
+        self._mark(lambda job: not job.has_attempts and job.places.names_others(silent))
 
-    def _name_anew(self) -> None:
-        """Have the store forget what earlier owners named, as nothing of theirs is in doubt.
+    def _drop_inherited_names(self) -> None:
+        """Remove all placements of earlier owners from the store once none is uncertain.
 
-        The next owner would wait for the same silent executors again.
+        The next owner would otherwise wait for the same unresponsive executors again.
         """
         self._mark(lambda job: job.places.inherited is None or bool(job.places.inherited))
 
-    async def _forget_earlier(self) -> None:
-        """Have the store forget what it names for late orders of earlier owners, in time.
+    async def _expire_late_starts(self) -> None:
+        """Remove the recorded late starts of earlier owners once they have expired.
 
-        Until then it is told now and then for how long they may still be late.
+        Until then their remaining time is written periodically.
         """
-        while trio.current_time() < self.cell.late_until:
-            await trio.sleep(LATE_NOTED_EACH_S)
+        while trio.current_time() < self.cell.late_orders_until:
+            await trio.sleep(LATE_STARTS_WRITE_INTERVAL_S)
             self._mark(lambda job: bool(job.places.starts))
         self._mark(lambda job: bool(job.places.earlier))
 
     def _mark(self, is_meant: Callable[[JobState], bool]) -> None:
-        """Have the progress of some active jobs written anew."""
+        """Mark the active jobs that match for recording."""
         for job in self.cell.active.values():
             if is_meant(job):
                 self.cell.recorder.mark(job)
 
     def _drop_gone(self, started: float) -> None:
-        """Give up silent executors whose entries did not come back with the store.
+        """Drop inherited executors whose entries did not return with the store.
 
-        An entry that lapsed while the store was away is back within 2 s of its return; the
-        executor of one that is still missing then is gone, and what ran there with it. Where
-        the store was not away, a missing entry says no such thing: an executor that is cut off
-        from everything works on until its holding time is over.
+        An entry that expired during a store outage is rewritten within 2 s of its end, so an
+        executor without one is gone. Without an outage a missing entry proves nothing: a
+        partitioned executor keeps running until its lease expires.
         """
-        since = max(started, self.parts.store_returned_at())
+        since = max(started, self.parts.store_recovered_at())
         if trio.current_time() < since + ENTRY_BACK_S:
             return
         for state in self.cell.silent():
@@ -307,21 +306,21 @@
                 log_event(
                     "executor.gone", **describe_life(state.life), entry_missing_s=ENTRY_BACK_S
                 )
-                state.note_over()
+                state.mark_ended()
 
     # Executors
 
     def _watch(self, state: ExecutorState) -> None:
-        """Have an executor watched; those found while all is read are once that is done."""
+        """Start watching an executor; those found during the load are started after it."""
         if self._nursery is not None:
-            self._nursery.start_soon(self._watch_to_its_end, state)
+            self._nursery.start_soon(self._watch_until_gone, state)
 
-    async def _watch_to_its_end(self, state: ExecutorState) -> None:
+    async def _watch_until_gone(self, state: ExecutorState) -> None:
         await ExecutorWatch(self.cell, state, self.depose).run()
         self.cell.note_use()
 
     async def _follow_evacuations(self) -> None:
-        """Have each change of the evacuated domains count in plans at once, and tell of limits."""
+        """Apply each change of the evacuated domains, and log unknown ones and lost guarantees."""
         evacuations = self.parts.evacuations
         while True:
             changed = evacuations.changed
@@ -331,11 +330,11 @@
 
     # Jobs
 
-    def _take_jobs(self, listing: Listing) -> None:
+    def _load_jobs(self, listing: Listing) -> None:
         for item in listing.items:
-            self._take_job(item)
+            self._apply_job_event(item)
 
-    def _take_job(self, event: Item | Gone) -> None:
+    def _apply_job_event(self, event: Item | Gone) -> None:
         if not isinstance(event, Item):
             return
         record = decode_job(event.value)
@@ -345,12 +344,12 @@
             self.cell.note_job(record, event.created)
 
     def note_job(self, record: JobRecord) -> None:
-        """Take in a job or a cancel that a peer tells of."""
+        """Apply a job or a cancellation that a peer reports."""
         if self.is_ready and record.spec.id not in self._set_aside:
             self.cell.note_job(record)
 
     def view(self, job_id: str) -> JobView | None:
-        """Return what may be told of a job; None if this owner doesn't know it."""
+        """Return the public view of a job; None if this owner doesn't know it."""
         job = self.cell.jobs.get(job_id)
         if job is None or not self.is_ready:
             return None
@@ -358,9 +357,10 @@
         return JobView(job.shown, job.spec.tenant, job.spec.queue.name, stand)
 
     def check_fit(self, spec: JobSpec) -> tuple[str, list[Kind]]:
-        """Return why a job can never be served, "" if it may be, and what its pool holds.
+        """Return the reason why a job can never be placed, "" if it can, and the kinds of its pool.
 
-        What is in the cell already stays and waits, and a pool that grows is not judged.
+        Jobs that are already accepted are kept, and a pool whose size is not settled is not
+        checked.
         """
         now = trio.current_time()
         pool = self.parts.desired().current_queue(spec).pool
@@ -372,7 +372,7 @@
         return find_misfit(kinds, spec, pool), kinds
 
     def count_pending(self, queue: str) -> int | None:
-        """Return how many accepted jobs of a queue have not begun."""
+        """Return the number of accepted jobs of a queue that have not begun."""
         if not self.is_ready:
             return None
         jobs = self.cell.active.values()
@@ -385,10 +385,10 @@
         while True:
             with trio.move_on_after(recheck):
                 await self.cell.changed.wait()
-            # A plan gets at most half of the time, however long it takes.
+            # Planning takes at most half of the time, however long one plan takes.
             await trio.sleep(max(COALESCE_S, took))
             self.cell.changed = trio.Event()
-            if not self.parts.may_order():
+            if not self.parts.may_send_orders():
                 await trio.sleep(PAUSE_S)
                 continue
             began = trio.current_time()
@@ -397,7 +397,7 @@
             self.parts.statistics.record("", "", Measure.PLAN, took)
 
     async def _plan(self) -> float:
-        """Make a plan and carry it out, part by part; return in how long to make another."""
+        """Make a plan and carry it out in parts; return the delay (s) until the next one."""
         now = trio.current_time()
         self.directory.read_again()
         self.directory.listings.tell()
@@ -407,7 +407,7 @@
             self.parts.desired(),
             now,
             self.parts.wall_clock(),
-            self._urgent.peaks(now),
+            self._urgent_demand.peaks(now),
             self.cell.find_withheld(),
             self.cell.approvals,
             self.parts.policy,
@@ -419,7 +419,7 @@
         recheck = PLAN_EVERY_S
         while True:
             plan = planner.make(PLAN_BUDGET_S)
-            self._urgent.note(trio.current_time(), planner.urgent_demand())
+            self._urgent_demand.note(trio.current_time(), planner.urgent_demand())
             self._carry_out(plan)
             if plan.recheck_in_s is not None:
                 recheck = min(recheck, max(0.02, plan.recheck_in_s))
@@ -427,7 +427,7 @@
                 self.waits.note_plan(planner.causes, trio.current_time())
                 return recheck
             await trio.sleep(0)
-            if not self.parts.may_order():
+            if not self.parts.may_send_orders():
                 return recheck
 
     def _carry_out(self, plan: Plan) -> None:
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/places.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/places.py
@@ -1,9 +1,8 @@
-"""At which executors runs of a job may be, as the store names them for the next owner.
+"""Tracks where runs of a job may be, as recorded in the store for the next owner.
 
-A start goes out only to an executor that the store names for its task by then. So a new owner knows
-of each task which silent executors may have it, and starts all others at once: without that, one
-silent executor of 176 withheld every older job for the 7.5 s of a holding time. While the store is
-away nothing can be named, so tasks that wait have some executors named for them in advance.
+A start is sent only to an executor that the store lists for its task. So a new owner knows which
+tasks may be at an unresponsive executor, and can start all others at once. Nothing can be recorded
+during a store outage, so waiting tasks have some executors recorded in advance.
 """
 
 from __future__ import annotations
@@ -17,20 +16,24 @@
 
 @dataclass(slots=True)
 class JobPlaces:
-    """Where runs of one job's tasks may be: what this owner has begun, and what earlier ones left.
-
-    `spare` are executors named in advance for tasks that wait. `left` are those of runs that have
-    ended since the store named them last: named once more, so that a write which comes to nothing
-    as the store goes takes no place away from the job. `earlier` are those that earlier owners
-    named, where a start of theirs may yet be carried out by another life; `late` those that are
-    named as long as that may be, for starts of this owner too. `inherited` are those that earlier
-    owners named, while nothing is known of what is there, None if a run of theirs may be anywhere.
-    `named` is what the store has, None if it names none; `on_its_way` what a write without an
-    answer yet names. `starts` are those that may have no answer, None where no other life can carry
-    them out; they begin late by `starts_left_s` at most, None if one may be sent yet, and the store
-    may say so if it `is_timed`. `starts_named` are those that the store has for certain: a next
-    owner begins these tasks again only where an earlier start is refused. `lists_starts`: earlier
-    owners named theirs.
+    """The executors at which runs of one job may be, started by this owner or by earlier ones.
+
+    - `spare`: executors recorded in advance for waiting tasks.
+    - `left`: executors of runs that ended since the last write. They are recorded once more, so
+      that a write that fails at the start of a store outage removes no executor.
+    - `earlier`: executors recorded by earlier owners, where a new instance may still carry out a
+      start.
+    - `late`: executors recorded while a start of any owner may be carried out late.
+    - `inherited`: executors recorded by earlier owners that have not reported yet; None if runs of
+      earlier owners may be anywhere.
+    - `named`: what the store has, None if it has nothing. `in_flight`: what an unanswered write
+      has.
+    - `starts`: starts that may be unanswered, None where no other instance can carry them out.
+    - `starts_left_s`: for how long `starts` may be carried out, None if one may still be sent.
+    - `has_time_limit`: whether the store may have a value of `starts_left_s`.
+    - `recorded_starts`: the starts that the store certainly has. The next owner restarts their
+      tasks only where the earlier start is refused.
+    - `lists_starts`: whether earlier owners recorded their starts.
     """
 
     spare: frozenset[str] = frozenset()
@@ -39,40 +42,40 @@
     late: Names = field(default_factory=dict)
     inherited: Names | None = field(default_factory=dict)
     named: Names | None = None
-    on_its_way: Names | None = None
+    in_flight: Names | None = None
     lists_starts: bool = False
     starts: frozenset[OpenStart] | None = None
     starts_left_s: float | None = None
-    is_timed: bool = False
-    starts_named: frozenset[OpenStart] = frozenset()
-    _left_on_its_way: Names = field(default_factory=dict)
+    has_time_limit: bool = False
+    recorded_starts: frozenset[OpenStart] = frozenset()
+    _left_in_flight: Names = field(default_factory=dict)
 
     def covers(self, wanted: Names) -> bool:
-        """Whether the store names executors for tasks, whatever becomes of a write under way."""
+        """Return whether the store lists the executors for the tasks, even if a write fails."""
         return self.named is not None and includes(self.list_covered(), wanted)
 
     def covers_starts(self, starts: Collection[OpenStart]) -> bool:
-        """Whether the store has these starts, whatever becomes of a write under way.
+        """Return whether the store has these starts, even if a write fails.
 
-        Not if it says for how long the starts that it has may be late: one that is sent now is late
-        for longer, and the next owner would begin its task elsewhere too soon.
+        False if the store limits the time of its starts: a start that is sent now may be carried
+        out later than that, and the next owner would restart its task too early.
         """
         if not starts:
             return True
-        return not self.is_timed and self.starts_named.issuperset(starts)
+        return not self.has_time_limit and self.recorded_starts.issuperset(starts)
 
     def list_covered(self) -> Names:
-        """Return all that the store names, whatever becomes of a write under way."""
+        """Return what the store lists for certain, whether a write in flight is applied or not."""
         named = self.named or {}
-        return named if self.on_its_way is None else intersect(named, self.on_its_way)
+        return named if self.in_flight is None else intersect(named, self.in_flight)
 
     def begin_write(self, names: Names | None) -> None:
-        """Take in that a write goes out; one before it without an answer may still be done."""
-        self.is_timed |= self.starts_left_s is not None
+        """Record that a write is sent; an earlier one without an answer may still be applied."""
+        self.has_time_limit |= self.starts_left_s is not None
         names = names or {}
-        self.on_its_way = names if self.on_its_way is None else intersect(self.on_its_way, names)
-        self.starts_named &= self.starts or frozenset()
-        self._left_on_its_way = self.left
+        self.in_flight = names if self.in_flight is None else intersect(self.in_flight, names)
+        self.recorded_starts &= self.starts or frozenset()
+        self._left_in_flight = self.left
 
     def end_write(
         self,
@@ -80,49 +83,49 @@
         starts: frozenset[OpenStart] | None = None,
         starts_left_s: float | None = None,
     ) -> None:
-        """Take in that the store has what was written last; nothing before it is done any more."""
-        self.is_timed = starts_left_s is not None
-        self.named, self.on_its_way = names, None
-        self.starts_named = starts or frozenset()
-        self.left = subtract(self.left, self._left_on_its_way)
+        """Record that the store has the last write; earlier ones can't be applied any more."""
+        self.has_time_limit = starts_left_s is not None
+        self.named, self.in_flight = names, None
+        self.recorded_starts = starts or frozenset()
+        self.left = subtract(self.left, self._left_in_flight)
 
     def restore(self, named: Names | None, starts: frozenset[OpenStart] | None = None) -> None:
-        """Take over what the store names."""
+        """Restore what the store lists."""
         self.starts = starts
         self.lists_starts = starts is not None
-        self.is_timed = bool(starts)
+        self.has_time_limit = bool(starts)
         self.named = self.inherited = named
-        # The starts that may yet be carried out are listed then, each by its task.
+        # The unresolved starts are listed one by one in this case.
         self.earlier = {} if self.lists_starts or named is None else named
 
-    def find_doubtful(self, silent: Collection[str], unsure: Collection[str]) -> int:
-        """Return the tasks of which a run of an earlier owner may be at a silent executor.
+    def find_uncertain(self, silent: Collection[str], unsure: Collection[str]) -> int:
+        """Return the tasks of which an earlier owner's run may be at an unresponsive executor.
 
-        Or of which a start that is not listed may yet be carried out at an unsure one.
+        Includes tasks with an unlisted start that may still be carried out at an `unsure` executor.
         """
         if self.inherited is None:
             return ANY
         begun = find_mask(self.inherited, silent)
         return begun if self.lists_starts else begun | find_mask(self.earlier, unsure)
 
-    def names_beside(self, silent: Collection[str]) -> bool:
-        """Whether the store names others than silent executors, and not in advance."""
+    def names_others(self, silent: Collection[str]) -> bool:
+        """Return whether the store lists executors other than unresponsive, spare and late ones."""
         named = (self.named or {}).keys()
         return not named <= {*silent, *self.spare, *self.late}
 
-    def drop_known(self, silent: Collection[str]) -> None:
-        """Forget what earlier owners named at executors other than these, which answer nobody."""
+    def drop_resolved(self, silent: Collection[str]) -> None:
+        """Remove inherited executors other than these, which have not reported."""
         if not silent:
             self.inherited = {}
         elif self.inherited:
             self.inherited = keep(self.inherited, silent)
 
-    def note_left(self, executor: str, mask: int) -> None:
-        """Take in that a run of tasks has ended at an executor."""
+    def add_left(self, executor: str, mask: int) -> None:
+        """Record that a run of some tasks has ended at an executor."""
         self.left = unite(self.left, {executor: mask})
 
     def list_for_store(self, now_at: Mapping[str, int]) -> Names | None:
-        """Return what the store is to name, beside where its attempts are or may yet be."""
+        """Return what to record, in addition to the executors of current attempts."""
         if self.inherited is None:
             return None
         return unite(self.inherited, now_at, self.left, self.late)
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/progress.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/progress.py
@@ -1,4 +1,4 @@
-"""Jobs in the owner's memory: steps, tasks and their attempts."""
+"""In-memory state of jobs, steps, tasks and attempts."""
 
 from __future__ import annotations
 
@@ -9,20 +9,21 @@
 from .model import JobSpec, Life, OpenStart, Queue, Resources, StepSpec, TaskKey
 from .places import JobPlaces
 from .record import Blame, JobStatus, ProgressRecord, StepProgress
-from .task_names import ANY, Names, share_out, unite
+from .task_names import ANY, Names, distribute, unite
 
 UNSETTLED = float("inf")
 LATE_FACTOR = 3.0
-MOST_BLAMED = 2
-"""The users' page lets a task be given up under which two executors have crashed."""
+MAX_BLAMED_CRASHES = 2
+"""A task is given up once it alone can have crashed so many executors, as documented for callers.
+"""
 MOST_CRASHES = 4
-"""And it allows two more starts after the third crash, whoever is to blame; one is kept in hand."""
-MOST_AHEAD = 256
-"""Tasks of a job that are named in advance: more than begin in an outage of the store."""
+"""A task is given up after so many crashes, whoever is to blame: one below the documented limit."""
+MAX_NAMED_AHEAD = 256
+"""Tasks of a job with executors recorded in advance: more than start in a store outage."""
 
 
 class Phase(Enum):
-    """What is known of an attempt."""
+    """The phase of an attempt."""
 
     STARTING = "starting"
     RUNNING = "running"
@@ -31,17 +32,16 @@
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """One run of a task that is, or may be, at one life of an executor.
-
-    Times are on trio's clock. `settled_at` is when an answer proved that no order for it can
-    have an effect any more that a report asked for later does not show: its start or a stop of
-    it was obeyed, or it was called old. Of its start, `sends` went out and `unanswered` had no
-    answer; each of those may be carried out seconds later until then. `refused_sends` did nothing;
-    the last went out at `sent_at`, and `is_on_its_way` until it is answered or its time is over.
-    `moved_at` is when `percent` last rose.
-    `rate` is the last measured speed (percent a second) and `best_rate` the highest one;
-    `ratio` is the time that it takes over the time that was estimated. `is_long`: it was
-    behind its step while its executor did well with others, so it is the task itself.
+    """One run of a task that is, or may be, at one instance of an executor.
+
+    Times are on trio's clock. `settled_at` is when an answer to a start or stop proved that any
+    report requested later is conclusive about this run. `sends` counts the start orders sent,
+    `unanswered` those without an answer, which may still be carried out late, and `refused_sends`
+    those without effect. `sent_at` is the time of the last send, and `is_on_its_way` is set while
+    it is in flight. `seen` is set once a report has listed the run. `moved_at` is when `percent`
+    last rose. `rate` is the last measured speed (percent/s) and `best_rate` the highest one;
+    `ratio` is the measured over the estimated duration. `is_long` marks an attempt that is slow
+    because of its task, as its executor runs others at normal speed.
     """
 
     task: TaskKey
@@ -71,28 +71,28 @@
 
     @property
     def executor(self) -> str:
-        """The id of the executor."""
+        """The executor's id."""
         return self.life.id
 
     @property
     def has_begun(self) -> bool:
-        """Whether it is known to have begun: a report has named it, or a start was obeyed."""
+        """Whether a report has listed the run, or a start was acknowledged."""
         open_sends = self.unanswered + self.refused_sends + self.is_on_its_way
         return self.seen or self.sends > open_sends
 
     @property
-    def is_one_send_open(self) -> bool:
-        """Whether one of its sends alone may have begun it, so that none is left once it has."""
+    def has_single_unresolved_send(self) -> bool:
+        """Whether exactly one send may have started the run."""
         open_sends = self.unanswered + self.is_on_its_way
         return open_sends == 1 and self.sends <= open_sends + self.refused_sends
 
 
 class TaskState:
-    """One task; it has at most one attempt that may be anywhere.
+    """One task, with at most one current attempt.
 
-    `moves` counts the attempts stopped because others of its step were faster. `crashes` are the
-    lives of executors that crashed under it; `works`: a run of it has outlived its start. What
-    changes here is counted in its step, so that no plan has to look at each task.
+    `moves` counts the attempts stopped because others of the step were faster. `crashes` holds the
+    executor instances that crashed under the task, and `works` is set once a run has survived its
+    start. Changes update the step's counters, so that a plan need not iterate over all tasks.
     """
 
     __slots__ = (
@@ -125,12 +125,12 @@
         self._step: StepState | None = None
 
     def avoids(self, executor: str, now: float) -> bool:
-        """Whether it is not to be started at an executor for now, whichever life has the id."""
+        """Return whether the task is not to be started at an executor id for now."""
         until = self.avoid.get(executor)
         return until is not None and until > now
 
     def note_crash(self, life: Life, blame: Blame | None) -> None:
-        """Take in whether it is to blame for the crash of an executor's life; None if it is not."""
+        """Set the blame for the crash of an executor instance; None removes it."""
         if blame is None:
             self.crashes.pop(life, None)
         else:
@@ -140,17 +140,17 @@
 
     @property
     def is_given_up(self) -> bool:
-        """Whether so many executors have crashed under it that it is not started any more."""
+        """Whether so many executors have crashed under the task that it is not started again."""
         blames = [blame for blame in self.crashes.values() if blame is not Blame.ON_TRIAL]
-        return blames.count(Blame.BLAMED) >= MOST_BLAMED or len(blames) >= MOST_CRASHES
+        return blames.count(Blame.BLAMED) >= MAX_BLAMED_CRASHES or len(blames) >= MOST_CRASHES
 
     def join(self, step: StepState) -> None:
-        """Belong to a step from now on."""
+        """Attach the task to its step."""
         self._step = step
 
     @property
     def done(self) -> bool:
-        """Whether a run of it ended done."""
+        """Whether a run of the task ended successfully."""
         return self._done
 
     @done.setter
@@ -163,7 +163,7 @@
 
     @property
     def attempt(self) -> Attempt | None:
-        """The run of it that may be somewhere."""
+        """The current attempt, None if there is none."""
         return self._attempt
 
     @attempt.setter
@@ -177,18 +177,19 @@
 
     @property
     def is_open(self) -> bool:
-        """Whether it waits to be started."""
+        """Whether the task waits to be started."""
         return self._attempt is None and not self._done
 
 
 @dataclass(slots=True, eq=False)
 class StepState:
-    """One step of one occurrence; `ready_at` is when its turn came (trio's clock), None before.
+    """One step of one occurrence of a job.
 
-    `due_at` is when its occurrence may begin (s since the epoch), None for at once.
-    `ratios` holds each task's last measured time over the estimate. `first` is the number of its
-    first task among all of the job. Of its tasks, `done_count` are done, `held_count` have an
-    attempt and `open_count` wait for one.
+    `ready_at` is when the step became startable (trio's clock), `due_at` the earliest start of its
+    occurrence (Unix time in s), None for at once. `ratios` holds the last ratio of measured to
+    estimated duration of each task. `first` is the number of its first task within the job.
+    `done_count`, `held_count` and `open_count` are the numbers of tasks that are done, have an
+    attempt, and wait for one.
     """
 
     spec: StepSpec
@@ -219,38 +220,38 @@
 
     @property
     def mask(self) -> int:
-        """The numbers of its tasks among all of the job, as a bit mask."""
+        """The bit mask of the step's tasks within the job."""
         return ((1 << len(self.tasks)) - 1) << self.first
 
     def mask_of(self, member: int) -> int:
-        """Return the bit of one task, of a gang those of all: its members wait for each other."""
+        """Return the bit of one task, or the whole step's mask for a gang, which starts as one."""
         return self.mask if self.spec.gang else 1 << (self.first + member)
 
     def list_open_masks(self, most: int) -> list[int]:
-        """Return the bits of so many tasks that wait, of a gang those of all as one."""
+        """Return the masks of at most `most` waiting tasks; a gang has one mask."""
         if self.spec.gang:
             return [self.mask]
         return [self.mask_of(task.index) for task in self.open_tasks()[:most]]
 
     @property
     def is_begun(self) -> bool:
-        """Whether any of its tasks has been started by this owner, or has ended."""
+        """Whether any task was started by this owner, or has ended."""
         return any(task.last_run for task in self.tasks)
 
     def count_failures(self, task: TaskState) -> int:
-        """Return how many runs failed: of the whole gang, or of a task on its own."""
+        """Return the number of failed runs of a task, or of its whole gang."""
         if not self.spec.gang:
             return len(task.failed_runs)
         return len(set().union(*(t.failed_runs for t in self.tasks)))
 
     def attempts(self) -> list[Attempt]:
-        """Return the attempts of its tasks that may be anywhere, in the tasks' order."""
+        """Return the current attempts, in task order."""
         if not self.held_count:
             return []
         return [task.attempt for task in self.tasks if task.attempt is not None]
 
     def open_tasks(self) -> list[TaskState]:
-        """Return the tasks that wait to be started; not to be changed by the caller."""
+        """Return the tasks that wait to be started; the caller must not modify the list."""
         if self.open_count == len(self.tasks):
             return self.tasks
         return [task for task in self.tasks if task.is_open]
@@ -258,13 +259,13 @@
 
 @dataclass(slots=True, eq=False)
 class JobState:
-    """A job that this owner knows; `recorded` is the status that the store has.
+    """The state of one job.
 
-    `steps` holds those of the first occurrence, then those of the next one, and so on.
-    `created` is the store's revision at which it was taken in, 0 if that isn't known yet.
-    `chain_s` is its longest chain of estimated step times. `crash_notes` counts the changes to what
-    is known of executors that crashed under its tasks, `crash_notes_recorded` those in the store.
-    `places` says where runs of it may be.
+    `recorded` is the status in the store. `steps` holds the steps of the first occurrence, then
+    those of the next one, and so on. `created` is the store revision at which the job was accepted,
+    0 if unknown. `chain_s` is the critical path of estimated step durations. `crash_notes` counts
+    the changes to the crashes of its tasks, and `crash_notes_recorded` those that are in the store.
+    `places` tracks where runs may be.
     """
 
     spec: JobSpec
@@ -289,7 +290,7 @@
 
     @property
     def status(self) -> JobStatus:
-        """What is true in memory, recorded or not."""
+        """The status in memory, recorded or not."""
         if self.failed:
             return JobStatus.FAILED
         if self.is_done:
@@ -300,7 +301,7 @@
 
     @property
     def shown(self) -> JobStatus:
-        """What callers may be told: final only once it is recorded."""
+        """The status for callers, which is final only once it is recorded."""
         if self.recorded is not None and self.recorded.is_final:
             return self.recorded
         if self.cancelled:
@@ -309,15 +310,15 @@
 
     @property
     def is_active(self) -> bool:
-        """Whether tasks of it may be started."""
+        """Whether tasks of the job may be started."""
         return not (self.cancelled or self.failed or self.is_done)
 
     def count_tasks(self) -> int:
-        """Return how many tasks it has in all."""
+        """Return the number of tasks."""
         return self.steps[-1].first + len(self.steps[-1].tasks)
 
     def task(self, key: TaskKey) -> TaskState | None:
-        """Return one of its tasks, if it has it."""
+        """Return a task by its key, None if the job has no such task."""
         if not 0 <= key.step < len(self.spec.steps):
             return None
         if not 0 <= key.occurrence < self.spec.occurrences:
@@ -326,63 +327,62 @@
         return tasks[key.member] if 0 <= key.member < len(tasks) else None
 
     def step_of(self, key: TaskKey) -> StepState:
-        """Return the step of one of its tasks."""
+        """Return the step of a task."""
         return self.steps[key.occurrence * len(self.spec.steps) + key.step]
 
     def key_of(self, step: StepState, task: TaskState) -> TaskKey:
-        """Return the key of one of its tasks."""
+        """Return the key of a task."""
         return TaskKey(self.spec.id, step.number, task.index, step.occurrence)
 
     def mask_of(self, task: OpenStart | TaskKey) -> int:
-        """Return the bit of one of its tasks, of a gang those of all; 0 if it has no such task."""
+        """Return the mask of a task, of all members for a gang; 0 if there is no such task."""
         key = TaskKey(self.spec.id, task.step, task.member, task.occurrence)
         return self.step_of(key).mask_of(key.member) if self.task(key) is not None else 0
 
-    def name_places(self, attempts: Iterable[Attempt]) -> Names:
-        """Return at which executors some of its attempts are, as the store names them."""
+    def locate_attempts(self, attempts: Iterable[Attempt]) -> Names:
+        """Return the executors of some attempts with the masks of their tasks."""
         return unite(*({a.executor: self.mask_of(a.task)} for a in attempts))
 
-    def _name_ahead(self, own: Collection[str]) -> Names:
-        """Name executors for what waits, and for what may wait before the store answers again.
+    def _preassign_waiting(self, own: Collection[str]) -> Names:
+        """Return executors for the tasks that wait now, or may wait during a store outage.
 
-        What waits is shared out among the spares, so that one that is silent puts few tasks in
-        doubt. Steps that come after others and are not begun are named at all `own` executors of
-        the job, as they mostly can't be there while one before them is in doubt. Times that are not
-        due are left out.
+        Waiting tasks are distributed over the spare executors, so that one unresponsive executor
+        withholds few of them. Later steps that have not begun are recorded at every executor in
+        `own`, because they cannot start there before the steps they depend on are resolved.
+        Occurrences that are not due are left out.
         """
         waiting: list[int] = []
         later, count = 0, 0
         for step in self.steps:
-            if not step.open_count or count >= MOST_AHEAD or not self._has_come(step):
+            if not step.open_count or count >= MAX_NAMED_AHEAD or not self._has_become_due(step):
                 continue
             count += step.open_count
-            is_next = self._is_next(step)
+            is_next = self._is_unblocked(step)
             if step.spec.after and not (is_next and step.is_begun):
                 later |= step.mask
             if is_next:
-                waiting += step.list_open_masks(MOST_AHEAD)
-        shared = share_out(waiting, self.places.spare)
+                waiting += step.list_open_masks(MAX_NAMED_AHEAD)
+        shared = distribute(waiting, self.places.spare)
         return unite({name: later for name in own if later}, shared)
 
-    def _has_come(self, step: StepState) -> bool:
-        """Whether a step has no due time, or that has been found to be over."""
+    def _has_become_due(self, step: StepState) -> bool:
+        """Return whether a step has no due time, or was found to be past it."""
         first = self.steps[step.occurrence * len(self.spec.steps)]
         return step.due_at is None or first.ready_at is not None or first.done_count > 0
 
-    def _is_next(self, step: StepState) -> bool:
-        """Whether all steps before one are done, due or not."""
+    def _is_unblocked(self, step: StepState) -> bool:
+        """Return whether all steps that this one depends on are done."""
         first = step.occurrence * len(self.spec.steps)
         return all(self.steps[first + number].is_done for number in step.spec.after)
 
     def attempts(self) -> list[Attempt]:
-        """Return all attempts that may be anywhere."""
+        """Return all current attempts."""
         return [attempt for step in self.steps for attempt in step.attempts()]
 
     def may_start(self, task: TaskState) -> bool:
-        """Whether a task may be started as far as executors have crashed under it.
+        """Return whether the crashes under a task allow another start.
 
-        Not before each crash is in the store: an owner that is replaced without it would have the
-        next one begin to count anew.
+        Every crash must be in the store first, or the next owner would not count it.
         """
         if not task.crashes:
             return True
@@ -390,26 +390,26 @@
 
     @property
     def has_attempts(self) -> bool:
-        """Whether any attempt of it may be anywhere."""
+        """Whether the job has any current attempt."""
         return any(step.held_count for step in self.steps)
 
     @property
     def accelerators_held(self) -> int:
-        """How many accelerators its attempts hold."""
+        """The number of accelerators that its attempts occupy."""
         return sum(step.held_count * step.spec.need.accelerators for step in self.steps)
 
     def is_ready(self, step: StepState, wall_now: float) -> bool:
-        """Whether a step's time has come and all steps before it are done."""
+        """Return whether a step is due and all steps that it depends on are done."""
         if step.due_at is not None and wall_now < step.due_at:
             return False
-        return self._is_next(step)
+        return self._is_unblocked(step)
 
     def is_due(self, wall_now: float) -> bool:
-        """Whether any of its times has come."""
+        """Return whether the first occurrence is due."""
         return self.spec.schedule is None or wall_now >= self.spec.schedule.first_at
 
     def to_record(self) -> ProgressRecord:
-        """Return what must outlast the owner."""
+        """Return the progress that must outlast the owner."""
         steps = [
             StepProgress(
                 sum(1 << t.index for t in s.tasks if t.done),
@@ -419,13 +419,13 @@
             )
             for s in self.steps
         ]
-        now_at, places = self.name_places(self.attempts()), self.places
-        ahead = self._name_ahead({*now_at, *places.left})
+        now_at, places = self.locate_attempts(self.attempts()), self.places
+        ahead = self._preassign_waiting({*now_at, *places.left})
         named = places.list_for_store(unite(now_at, ahead))
         return ProgressRecord(self.status, steps, named, places.starts, places.starts_left_s)
 
     def fits(self, record: ProgressRecord) -> bool:
-        """Whether a record has this job's steps, and names no task that it hasn't."""
+        """Return whether a record matches the job's steps and tasks."""
         if len(record.steps) != len(self.steps):
             return False
         masks = (record.places or {}).values()
@@ -435,7 +435,7 @@
         ) and all(mask == ANY or mask >> self.count_tasks() == 0 for mask in masks)
 
     def restore(self, record: ProgressRecord, revision: int) -> None:
-        """Take over what an earlier owner recorded."""
+        """Restore the progress that an earlier owner recorded."""
         self.revision = revision
         self.recorded = record.status
         self.failed = record.status is JobStatus.FAILED
@@ -451,23 +451,23 @@
                     task.note_crash(life, Blame.SUSPECTED if is_open else blame)
 
 
-def list_starts_under_way(job: JobState) -> frozenset[OpenStart]:
-    """Return the starts of a job that go out or have no answer yet, where another life may come."""
+def list_pending_starts(job: JobState) -> frozenset[OpenStart]:
+    """Return the starts of a job without an answer so far, where the executor id may be reused."""
     return frozenset(
-        open_start(attempt)
+        to_open_start(attempt)
         for attempt in job.attempts()
         if attempt.life.born and attempt.phase is Phase.STARTING
     )
 
 
-def open_start(attempt: Attempt) -> OpenStart:
-    """Return an attempt's start as the store names it."""
+def to_open_start(attempt: Attempt) -> OpenStart:
+    """Return an attempt's start in the form recorded in the store."""
     task = attempt.task
     return OpenStart(attempt.executor, task.step, task.member, task.occurrence)
 
 
 def make_job(spec: JobSpec, now: float) -> JobState:
-    """Return the state of a job of which nothing has run."""
+    """Return the state of a job that has not run."""
     steps: list[StepState] = []
     first = 0
     for occurrence in range(spec.occurrences):
@@ -475,7 +475,7 @@
             step = _make_step(spec, occurrence, number, first)
             steps.append(step)
             first += len(step.tasks)
-    return JobState(spec, steps, arrived_at=now, chain_s=longest_chain_s(spec))
+    return JobState(spec, steps, arrived_at=now, chain_s=critical_path_s(spec))
 
 
 def _make_step(spec: JobSpec, occurrence: int, number: int, first: int) -> StepState:
@@ -485,8 +485,8 @@
     return StepState(step, tasks, number, occurrence, due_at, first)
 
 
-def longest_chain_s(spec: JobSpec) -> float:
-    """Return the longest chain of estimated step times (s)."""
+def critical_path_s(spec: JobSpec) -> float:
+    """Return the critical path of estimated step durations (s)."""
     ends: list[float] = []
     for step in spec.steps:
         before = max((ends[number] for number in step.after), default=0.0)
@@ -497,7 +497,7 @@
 def latest_starts(
     job: JobState, step: StepState, queue: Queue, now: float, wall_now: float
 ) -> tuple[float, float]:
-    """Return when (trio's clock) a step must start to be on time, and to be of any worth."""
+    """Return the latest times (trio's clock) to start a step on time, and to start it at all."""
     objective = queue.stretch * job.chain_s + queue.target_s
     asked_at = job.spec.accepted_at if step.due_at is None else step.due_at
     begun = asked_at - wall_now + now
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/record.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/record.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from .model import ApprovalTerms, JobSpec, Life, OpenStart, Queue, Resources, Schedule, StepSpec
-from .task_names import Names, decode_names, encode_masks
+from .task_names import Names, decode_masks, encode_masks
 
 MALFORMED = (
     KeyError,
@@ -20,20 +20,20 @@
     OverflowError,
     RecursionError,
 )
-"""What reading bytes that are not as agreed may raise."""
-MOST_TASKS = 1_000_000
-"""More than any caller may ask for; a job that names more is no job."""
+"""The exceptions that decoding malformed bytes may raise."""
+MAX_TASKS = 1_000_000
+"""Above the limit for accepted jobs, so a record with more tasks is malformed."""
 
 
 @dataclass(frozen=True, slots=True)
 class Unreadable:
-    """Stored bytes that are not as agreed: set aside and told, so that no reader ends by them."""
+    """Malformed stored bytes, which are set aside and logged instead of ending the reader."""
 
     reason: str
 
 
 class JobStatus(StrEnum):
-    """What callers are told of a job."""
+    """The status of a job, as reported to callers."""
 
     PENDING = "pending"
     RUNNING = "running"
@@ -43,13 +43,13 @@
 
     @property
     def is_final(self) -> bool:
-        """Whether it can't change any more."""
+        """Whether the status can't change any more."""
         return self in (JobStatus.SUCCEEDED, JobStatus.FAILED, JobStatus.CANCELLED)
 
 
 @dataclass(frozen=True, slots=True)
 class JobRecord:
-    """A job as it was accepted, and whether its cancelling was accepted."""
+    """A job as it was accepted, and whether its cancellation was accepted."""
 
     spec: JobSpec
     cancelled: bool = False
@@ -78,7 +78,7 @@
 
     @classmethod
     def read(cls, value: dict[str, Any]) -> JobRecord:
-        """Take the values out of the stored form."""
+        """Build a record from decoded JSON."""
         steps = tuple(_decode_step(step) for step in value["steps"])
         spec = JobSpec(
             str(value["id"]),
@@ -95,7 +95,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CancelledUntaken:
-    """In a job's place: it was cancelled before it was taken in, and is not to be any more."""
+    """Marks a job that was cancelled before it was accepted, so that it is never accepted."""
 
     tenant: str
 
@@ -105,7 +105,7 @@
 
 
 def decode_job(data: bytes) -> JobRecord | CancelledUntaken | Unreadable:
-    """Read what stands under a job's key."""
+    """Decode the value of a job's key."""
     try:
         value = json.loads(data)
         if "cancelled_untaken" in value:
@@ -116,7 +116,7 @@
 
 
 def decode_progress(data: bytes) -> ProgressRecord | Unreadable:
-    """Read what stands under a progress key."""
+    """Decode the value of a progress key."""
     try:
         return ProgressRecord.decode(data)
     except MALFORMED as error:
@@ -124,12 +124,12 @@
 
 
 def _check_steps(steps: tuple[StepSpec, ...]) -> None:
-    """Raise `ValueError` unless each step has tasks and waits for earlier steps only."""
+    """Raise `ValueError` unless each step has tasks and depends on earlier steps only."""
     for number, step in enumerate(steps):
-        if not 1 <= step.count <= MOST_TASKS:
+        if not 1 <= step.count <= MAX_TASKS:
             raise ValueError(f"step {number} has {step.count} tasks")
         if not all(0 <= earlier < number for earlier in step.after):
-            raise ValueError(f"step {number} does not wait for earlier steps only")
+            raise ValueError(f"step {number} depends on a step that is not an earlier one")
 
 
 def _decode_schedule(value: list[Any]) -> Schedule:
@@ -207,10 +207,10 @@
 
 
 class Blame(StrEnum):
-    """Whether a task crashed an executor: nothing else may have, or something else may.
+    """Whether a task crashed an executor certainly, possibly, or may be about to.
 
-    `ON_TRIAL`: it is about to be started there after others crashed under it. An owner that finds
-    this counts a crash unless that executor reports.
+    `ON_TRIAL`: it is being started there after other executors crashed under it. An owner that
+    reads this counts a crash unless that executor reports.
     """
 
     BLAMED = "blamed"
@@ -220,10 +220,10 @@
 
 @dataclass(slots=True)
 class StepProgress:
-    """Done tasks as a bit mask; the runs that failed and checkpoints by task index.
+    """The done tasks as a bit mask; failed runs, checkpoints and crashes by task index.
 
-    The runs are kept, not their count, because an executor may list an end again; for the same
-    reason `crashes` names the lives of executors that crashed under a task.
+    Run numbers and executor instances are kept, not counts, because an executor may report an end
+    again.
     """
 
     done: int = 0
@@ -234,13 +234,12 @@
 
 @dataclass(slots=True)
 class ProgressRecord:
-    """How far a job has come, as far as it must outlast its owner.
+    """A job's progress, as far as it must outlast its owner.
 
-    `places` are the executors at which a run of it may be, with the tasks that may be there; None
-    if any may be anywhere. Earlier versions named none, or the executors without their tasks, and
-    pass over the tasks. `starts` are those that may have had no answer, None if
-    that may be any there; they are late for `starts_left_s` at most after the record was written,
-    None if one may be sent yet.
+    `places` maps executors to the tasks that may be there; None if any task may be anywhere.
+    Earlier versions stored no places, or no tasks with them. `starts` are those that may be
+    unanswered, None if any may be. They may be carried out for at most `starts_left_s` after the
+    write, None if one may still be sent.
     """
 
     status: JobStatus
@@ -280,26 +279,23 @@
             step.crashes = {int(index): _decode_blames(rows) for index, rows in crashes.items()}
         places = value.get("places")
         masks = value.get("place_tasks", {})
-        named = None if places is None else decode_names(places, masks)
+        named = None if places is None else decode_masks(places, masks)
         starts = value.get("starts")
         open_starts = None if starts is None else frozenset(map(_read_start, starts))
-        left_s = read_left_s(value.get("starts_left_s"))
+        left_s = read_remaining_s(value.get("starts_left_s"))
         return cls(JobStatus(value["status"]), steps, named, open_starts, left_s)
 
 
-def read_left_s(value: Any) -> float | None:
-    """Read for how long (s) something lasts after it was written; raises `ValueError` if no time.
-
-    None where that is not told.
-    """
+def read_remaining_s(value: Any) -> float | None:
+    """Decode a remaining time (s), None if there is none; raises `ValueError` if it is invalid."""
     left_s = None if value is None else float(value)
     if left_s is not None and not 0.0 <= left_s < math.inf:
-        raise ValueError(f"something that is over in {left_s} s")
+        raise ValueError(f"invalid remaining time: {left_s} s")
     return left_s
 
 
-def round_left_s(left_s: float) -> float:
-    """Return a time (s) in tenths as it is stored, never too short."""
+def round_remaining_s(left_s: float) -> float:
+    """Round a remaining time (s) up to tenths for the stored form."""
     return math.ceil(max(0.0, left_s) * 10) / 10
 
 
@@ -316,12 +312,12 @@
 
 
 def _decode_blames(rows: Any) -> dict[Life, Blame]:
-    """Read who crashed under one task; earlier versions named ids alone, as keys."""
+    """Decode the crashes under one task; earlier versions stored a mapping of ids."""
     if isinstance(rows, dict):
         return {Life(str(name)): Blame(blame) for name, blame in rows.items()}
     return {read_life(name, born): Blame(blame) for name, born, blame in rows}
 
 
 def read_life(name: Any, born: Any = 0) -> Life:
-    """Read a life from its stored id and start; earlier versions stored no start."""
+    """Decode an executor instance; earlier versions stored no start time."""
     return Life(str(name), int(born))
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/spares.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/spares.py
@@ -1,8 +1,8 @@
-"""Executors named in advance for jobs that wait, so that they may start while the store is away.
+"""Records spare executors for waiting jobs, so that they can start during a store outage.
 
-The more are named, the more room a job has in an outage, and the likelier one of them is silent
-when the next owner comes, which then withholds what is named there. So only jobs that wait get any,
-and few, and the tasks that wait are shared out among them.
+More spares give a job more room in an outage, but make it likelier that one is unresponsive at the
+next takeover, which withholds the tasks recorded there. So only waiting jobs get spares, few of
+them, and the waiting tasks are distributed over them.
 """
 
 from __future__ import annotations
@@ -18,86 +18,95 @@
 from .progress import JobState, StepState
 from .room import count_fits
 
-LOOK_S = 0.25
-WAITS_S = 0.15
-"""Jobs with room are started some tens of milliseconds after they were taken in; of one that waited
-0.53 s as the store went nothing was named yet, and it stood for the 6.9 s of the outage."""
-PASSING = (None, WorkRefusal.RESTING, WorkRefusal.APART)
-"""What keeps an executor from work for some seconds is no reason to name another one."""
-SPARES = 6
-POOL_PART = 12
-"""At most a twelfth of a pool: one silent executor then withholds a twelfth of what waits.
-With six of 24 it withheld 8 of 24 jobs for 7.47 s, emulated."""
-MOST_CHOSEN = 50
-"""Jobs that are given spares at one look: a choice among 176 executors takes 0.2 ms."""
+SCAN_INTERVAL_S = 0.25
+MIN_WAIT_S = 0.15
+"""How long a job waits before it gets spares; jobs with room start within tens of milliseconds."""
+TEMPORARY_REFUSALS = (None, WorkRefusal.RESTING, WorkRefusal.APART)
+"""Refusals that last for seconds only, so the executor remains a valid spare."""
+MAX_SPARES = 6
+POOL_DIVISOR = 12
+"""A job has at most one spare for so many executors of its pool.
 
-Asked = tuple[str, Resources, str]
-"""What decides which executors could hold a task: pool, need and label."""
+This bounds the share of waiting jobs that one unresponsive executor withholds.
+"""
+MAX_JOBS_PER_SCAN = 50
+"""Jobs that get spares in one scan: a choice among 176 executors takes 0.2 ms."""
+
+Requirement = tuple[str, Resources, str]
+"""What decides which executors can hold a task: pool, need and label."""
 
 
 @dataclass(slots=True)
 class Spares:
-    """Names executors for the jobs of a cell that wait."""
+    """Assigns spare executors to the waiting jobs of a cell."""
 
     cell: OwnedCell
 
     async def run(self) -> None:
-        """Look for jobs that wait, until cancelled."""
+        """Scan for waiting jobs periodically, until cancelled."""
         while True:
-            await trio.sleep(LOOK_S)
+            await trio.sleep(SCAN_INTERVAL_S)
             if self.cell.parts.is_naming():
                 self.choose(trio.current_time())
 
     def choose(self, now: float) -> None:
-        """Choose for jobs that wait and have no sound spare, and drop those of the others."""
-        sound = _Sound([s for s in self.cell.executors.values() if s.find_refusal(now) in PASSING])
+        """Assign spares to waiting jobs without usable ones, and clear those of other jobs."""
+        sound = _Candidates(
+            [s for s in self.cell.executors.values() if s.find_refusal(now) in TEMPORARY_REFUSALS]
+        )
         chosen = 0
         for job in self.cell.active.values():
             step, spare = _find_waiting(job, now), job.places.spare
             if step is None:
                 job.places.spare = frozenset()
-            elif chosen < MOST_CHOSEN and not (spare and spare <= sound.names):
+            elif chosen < MAX_JOBS_PER_SCAN and not (spare and spare <= sound.names):
                 job.places.spare = self._choose(job, step, sound)
                 chosen += bool(job.places.spare)
             if job.places.spare != spare:
                 self.cell.recorder.mark(job)
 
-    def _choose(self, job: JobState, step: StepState, sound: _Sound) -> frozenset[str]:
-        """Return executors that may hold a step: for a gang a rack, else a few of them.
+    def _choose(self, job: JobState, step: StepState, sound: _Candidates) -> frozenset[str]:
+        """Return spares for a step: one rack for a gang, else a few executors.
 
-        Each job has an order of its own, so that what comes free anywhere is a spare of some.
+        Each job ranks the executors in its own order, so that any executor that becomes free is a
+        spare of some job.
         """
         pool = self.cell.parts.desired().current_queue(job.spec).pool
         asked = (pool, step.spec.need, step.spec.label)
         if step.spec.gang and len(step.tasks) > 1:
             racks = sound.list_racks(asked, len(step.tasks))
-            return min(racks, key=lambda rack: _weigh(job, min(rack)), default=frozenset())
+            return min(racks, key=lambda rack: _rank_for(job, min(rack)), default=frozenset())
         names = sound.list_fitting(asked)
-        most = min(SPARES, len(names) // POOL_PART)
-        return frozenset(sorted(names, key=lambda name: _weigh(job, name))[:most] if most else ())
+        most = min(MAX_SPARES, len(names) // POOL_DIVISOR)
+        return frozenset(
+            sorted(names, key=lambda name: _rank_for(job, name))[:most] if most else ()
+        )
 
 
-class _Sound:
-    """The executors to choose from at one look, worked out once for all that ask the same."""
+class _Candidates:
+    """The executors to choose from in one scan, cached by requirement."""
 
     def __init__(self, states: list[ExecutorState]) -> None:
         self.names = {state.id for state in states}
         self._states = states
-        self._fitting: dict[Asked, list[ExecutorState]] = {}
-        self._racks: dict[tuple[Asked, int], list[frozenset[str]]] = {}
+        self._fitting: dict[Requirement, list[ExecutorState]] = {}
+        self._racks: dict[tuple[Requirement, int], list[frozenset[str]]] = {}
 
-    def list_fitting(self, asked: Asked) -> list[str]:
-        """Return the executors that could hold a task."""
+    def list_fitting(self, asked: Requirement) -> list[str]:
+        """Return the executors that can hold a task."""
         return [state.id for state in self._list(asked)]
 
-    def list_racks(self, asked: Asked, count: int) -> list[frozenset[str]]:
-        """Return the executors of each rack that could hold so many tasks, if they are few."""
+    def list_racks(self, asked: Requirement, count: int) -> list[frozenset[str]]:
+        """Return the executors of each rack that can hold `count` tasks and is small enough.
+
+        A rack may be 1 / `POOL_DIVISOR` of the fitting executors at most.
+        """
         key = (asked, count)
         if key not in self._racks:
             self._racks[key] = self._find_racks(asked, count)
         return self._racks[key]
 
-    def _list(self, asked: Asked) -> list[ExecutorState]:
+    def _list(self, asked: Requirement) -> list[ExecutorState]:
         pool, need, label = asked
         if asked not in self._fitting:
             self._fitting[asked] = [
@@ -109,29 +118,29 @@
             ]
         return self._fitting[asked]
 
-    def _find_racks(self, asked: Asked, count: int) -> list[frozenset[str]]:
+    def _find_racks(self, asked: Requirement, count: int) -> list[frozenset[str]]:
         states, racks = self._list(asked), dict[str, list[ExecutorState]]()
         for state in states:
             racks.setdefault(state.executor.rack, []).append(state)
         return [
             frozenset(state.id for state in rack)
             for rack in racks.values()
-            if len(rack) <= len(states) // POOL_PART
+            if len(rack) <= len(states) // POOL_DIVISOR
             and sum(count_fits(asked[1], state.executor.capacity) for state in rack) >= count
         ]
 
 
 def _find_waiting(job: JobState, now: float) -> StepState | None:
-    """Return the first step of which tasks have waited for a while, None if there is none."""
+    """Return the first step with tasks that have waited for `MIN_WAIT_S`, None if there is none."""
     if not job.is_active:
         return None
     waiting = (
         step
         for step in job.steps
-        if step.ready_at is not None and step.open_count and now - step.ready_at >= WAITS_S
+        if step.ready_at is not None and step.open_count and now - step.ready_at >= MIN_WAIT_S
     )
     return next(waiting, None)
 
 
-def _weigh(job: JobState, name: str) -> int:
+def _rank_for(job: JobState, name: str) -> int:
     return zlib.crc32(f"{job.spec.id} {name}".encode())
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/task_names.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/task_names.py
@@ -1,6 +1,6 @@
-"""At which executors which tasks of a job may be: a bit mask of task numbers for each executor id.
+"""Maps executor ids to bit masks of the tasks of one job that may be there.
 
-A job's tasks are numbered over its steps and times. `ANY` stands for every task.
+The tasks of a job are numbered over its steps and occurrences. `ANY` stands for every task.
 """
 
 from __future__ import annotations
@@ -9,21 +9,21 @@
 from typing import Any
 
 ANY = -1
-MOST_BITS = 1_000_000
-"""A mask that is longer is stored as `ANY`, and is none where it is read."""
-MOST_SHARES = 4
-"""Parts into which waiting tasks are divided: an executor that falls silent puts one in doubt."""
+MAX_MASK_BITS = 1_000_000
+"""A longer mask is stored as `ANY`, and rejected when it is read."""
+MAX_SHARES = 4
+"""Parts into which waiting tasks are divided, one of which an unresponsive executor withholds."""
 
 Names = Mapping[str, int]
 
 
 def name_all(executors: Iterable[str]) -> dict[str, int]:
-    """Return names by which any task may be at some executors."""
+    """Return a mapping by which any task may be at each executor."""
     return dict.fromkeys(executors, ANY)
 
 
 def unite(*parts: Names) -> dict[str, int]:
-    """Return what is in any of the parts."""
+    """Return the union of some mappings."""
     found: dict[str, int] = {}
     for part in parts:
         for executor, mask in part.items():
@@ -32,24 +32,24 @@
 
 
 def intersect(one: Names, other: Names) -> dict[str, int]:
-    """Return what is in both."""
+    """Return the intersection of two mappings."""
     both = ((executor, mask & other.get(executor, 0)) for executor, mask in one.items())
     return {executor: mask for executor, mask in both if mask}
 
 
 def subtract(one: Names, other: Names) -> dict[str, int]:
-    """Return what is in one and not in the other."""
+    """Return the first mapping without the tasks of the second one."""
     rest = ((executor, mask & ~other.get(executor, 0)) for executor, mask in one.items())
     return {executor: mask for executor, mask in rest if mask}
 
 
 def includes(names: Names, wanted: Names) -> bool:
-    """Whether names hold all that is wanted."""
+    """Return whether a mapping contains all of another one."""
     return all(not mask & ~names.get(executor, 0) for executor, mask in wanted.items())
 
 
 def keep(names: Names, executors: Collection[str]) -> dict[str, int]:
-    """Return the names at some executors."""
+    """Return the part of a mapping for some executors."""
     return {executor: mask for executor, mask in names.items() if executor in executors}
 
 
@@ -62,16 +62,17 @@
 
 
 def find_executors(names: Names, mask: int) -> frozenset[str]:
-    """Return the executors that are named for each of some tasks."""
+    """Return the executors that are listed for all tasks of a mask."""
     return frozenset(executor for executor, tasks in names.items() if not mask & ~tasks)
 
 
-def share_out(masks: Collection[int], executors: Collection[str]) -> dict[str, int]:
-    """Name each mask at a part of the executors, and each executor for a part of the masks.
+def distribute(masks: Collection[int], executors: Collection[str]) -> dict[str, int]:
+    """Distribute masks over executors, with several executors for each part.
 
-    Any that comes free then takes some of them, and one that falls silent withholds no others.
+    An executor that becomes free can take some of the tasks, and an unresponsive one withholds no
+    others.
     """
-    count = min(MOST_SHARES, len(masks), len(executors))
+    count = min(MAX_SHARES, len(masks), len(executors))
     if not count:
         return {}
     parts = [0] * count
@@ -81,16 +82,16 @@
 
 
 def encode_masks(names: Names) -> dict[str, tuple[int, str]]:
-    """Return the stored form of the masks, each as its lowest number and the bits from there on."""
+    """Return the stored form of the masks: the lowest task number, and the bits above it in hex."""
     return {
         executor: _encode_mask(mask)
         for executor, mask in sorted(names.items())
-        if mask != ANY and mask.bit_length() <= MOST_BITS
+        if mask != ANY and mask.bit_length() <= MAX_MASK_BITS
     }
 
 
-def decode_names(executors: Iterable[Any], masks: Mapping[str, Any]) -> dict[str, int]:
-    """Read names: at an executor of which no mask is stored any task may be."""
+def decode_masks(executors: Iterable[Any], masks: Mapping[str, Any]) -> dict[str, int]:
+    """Decode stored masks; an executor without one stands for any task."""
     return {
         name: _decode_mask(*masks[name]) if name in masks else ANY for name in map(str, executors)
     }
@@ -103,6 +104,6 @@
 
 def _decode_mask(lowest: Any, bits: Any) -> int:
     number, mask = int(lowest), int(bits, 16)
-    if mask < 0 or not 0 <= number + mask.bit_length() <= MOST_BITS:
-        raise ValueError("a mask of tasks is of no job's tasks")
+    if mask < 0 or not 0 <= number + mask.bit_length() <= MAX_MASK_BITS:
+        raise ValueError(f"task mask out of range: {mask.bit_length()} bits from task {number}")
     return mask << number
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/used.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/used.py
@@ -1,4 +1,4 @@
-"""The executors in use, as the store names them for the next owner."""
+"""Records the executors in use for the next owner."""
 
 from __future__ import annotations
 
@@ -17,27 +17,29 @@
 from .model import Executor, Resources, TaskKey
 from .owned import OwnedCell
 from .progress import JobState
-from .record import MALFORMED, Unreadable, read_left_s, read_life, round_left_s
+from .record import MALFORMED, Unreadable, read_life, read_remaining_s, round_remaining_s
 from .task_names import Names
 
 USED_KEY = "used/0"
-NOTE_EACH_S = 1.0
-"""Between notes of how much of a silent executor's holding time is left."""
-SILENT_S = 0.9
-"""Before the store says that an executor is not held: most answer again sooner, and a holding time
-may be given only once that is taken back."""
+NOTE_INTERVAL_S = 1.0
+"""How often the remaining lease of unresponsive executors is recorded."""
+LAPSING_AFTER_S = 0.9
+"""How long an executor is unresponsive before it is recorded as not renewed.
+
+Most answer again sooner, and the lease may be renewed only once the record is withdrawn.
+"""
 PAUSE_S = 0.15
-BETWEEN_S = 0.1
+WRITE_INTERVAL_S = 0.1
 
 
 @dataclass(frozen=True, slots=True)
 class UsedExecutor:
-    """An executor in use: where it is, and the start of its life (Unix ms), 0 if not known.
+    """The recorded state of an executor in use; `born` is its start time (Unix ms), 0 if unknown.
 
-    `tasks` are those that an earlier version has named there, None for any; `is_named`: the store
-    names the executor for all jobs that may be there. `lapses_in_s`: it has answered nobody of late
-    and nobody holds it before this is taken back, so what is there ends so soon (s) after the
-    record was written at the latest; None if it may be held.
+    `tasks` are those that an earlier version listed there, None for any. `is_named`: the store
+    lists the executor for every job that may be there. `lapses_in_s`: its lease is not renewed
+    until this is withdrawn, so everything there ends within this time (s) after the write; None if
+    the lease may be renewed.
     """
 
     address: str
@@ -49,7 +51,7 @@
 
 
 class UsedExecutors:
-    """Names executors in the store before the first start there, and drops those gone."""
+    """Records executors in the store before the first start there, and removes gone ones."""
 
     def __init__(self, cell: OwnedCell, depose: Callable[[], None]) -> None:
         self._cell = cell
@@ -59,7 +61,7 @@
         self._revision = 0
 
     def take(self, listing: Listing) -> bool:
-        """Take in which executors an earlier owner may have used; False if that can't be read."""
+        """Load the executors that earlier owners may have used; return False if malformed."""
         known: dict[str, UsedExecutor] = {}
         for item in listing.items:
             self._revision = item.revision
@@ -84,32 +86,31 @@
         state.is_named = row.is_named
         if row.tasks is not None:
             state.only_tasks = frozenset(row.tasks)
-        # What is left of a wait is left to the next owner: each began it anew, so that jobs stood
-        # for as long as owners changed.
-        left_s = self._cell.parts.timing.longest_unheard_s
+        # Continue the recorded wait: restarting it at each takeover would delay jobs without limit.
+        left_s = self._cell.parts.timing.max_unreported_run_s
         state.lapse_by = now + min(left_s, left_s if row.lapses_in_s is None else row.lapses_in_s)
         state.is_lapsing = row.lapses_in_s is not None
         return state
 
     async def run(self) -> None:
-        """Write down each change, until cancelled."""
+        """Write each change, until cancelled."""
         while True:
-            until_s = NOTE_EACH_S if self._is_any_lapsing() else math.inf
+            until_s = NOTE_INTERVAL_S if self._is_any_lapsing() else math.inf
             with trio.move_on_after(until_s):
                 await self._cell.use_changed.wait()
             self._cell.use_changed = trio.Event()
             await self._write()
-            await trio.sleep(BETWEEN_S)
+            await trio.sleep(WRITE_INTERVAL_S)
 
     def _is_any_lapsing(self) -> bool:
         now = trio.current_time()
         states = self._cell.executors.values()
-        return any(now < s.lapse_by and self._find_silence_s(s, now) > 0 for s in states)
+        return any(now < s.lapse_by and self._find_unresponsive_s(s, now) > 0 for s in states)
 
-    def _find_silence_s(self, state: ExecutorState, now: float) -> float:
+    def _find_unresponsive_s(self, state: ExecutorState, now: float) -> float:
         """Return for how long (s) an executor has not answered this owner, 0.0 if it does.
 
-        One that has never answered it has been silent since the term began.
+        One that has never answered counts from the start of the term.
         """
         if state.silent_since is not None:
             return now - state.silent_since
@@ -117,12 +118,12 @@
 
     async def _write(self) -> None:
         while True:
-            await self._name_adopted()
+            await self._record_adopted()
             states = [s for s in self._cell.executors.values() if not s.dead]
             now = trio.current_time()
             used = {state.id: self._describe(state, now) for state in states}
             if used == self._written:
-                self._note_recorded(states, used)
+                self._mark_recorded(states, used)
                 return
             for state in states:
                 state.is_lapsing |= used[state.id].lapses_in_s is not None
@@ -134,27 +135,27 @@
             if isinstance(outcome, Committed):
                 self._revision = outcome.revision
                 self._written = used
-                self._note_recorded(states, used)
+                self._mark_recorded(states, used)
                 return
             if not isinstance(outcome, Unavailable):
-                # It may be in the store, or be taken there later.
+                # The write may have been applied, or may be later.
                 self._written = None
             if isinstance(outcome, Mismatch):
-                self._take_revision(outcome)
+                self._update_revision(outcome)
             await trio.sleep(PAUSE_S)
 
     def _describe(self, state: ExecutorState, now: float) -> UsedExecutor:
         executor, tasks, lapses_in_s = state.executor, None, None
         if not state.heard and state.only_tasks is not None:
             tasks = tuple(sorted(state.only_tasks))
-        if self._find_silence_s(state, now) >= SILENT_S:
-            lapses_in_s = round_left_s(state.lapse_by - now)
+        if self._find_unresponsive_s(state, now) >= LAPSING_AFTER_S:
+            lapses_in_s = round_remaining_s(state.lapse_by - now)
         return UsedExecutor(
             executor.address, executor.pool, tasks, state.life.born, state.is_named, lapses_in_s
         )
 
-    def _take_revision(self, outcome: Mismatch) -> None:
-        """Learn what an earlier write without an answer has done, or that the term is over."""
+    def _update_revision(self, outcome: Mismatch) -> None:
+        """Update the revision after a conflict, or depose this owner if the term is over."""
         key, revision = self._cell.term.guard
         guard = outcome.items.get(key)
         if guard is None or guard.revision != revision:
@@ -162,21 +163,21 @@
         item = outcome.items.get(USED_KEY)
         self._revision = item.revision if item else 0
 
-    def _note_recorded(self, states: list[ExecutorState], used: dict[str, UsedExecutor]) -> None:
-        """Take in that the store names these executors as in use, as they are.
+    def _mark_recorded(self, states: list[ExecutorState], used: dict[str, UsedExecutor]) -> None:
+        """Mark executors as recorded in use.
 
-        Also where nothing was to be written: one that went and came back meanwhile is another
-        state, of the same executor.
+        Also called if nothing was written, as an executor that was removed and returned has a new
+        state.
         """
         for state in states:
             state.recorded = True
             state.is_lapsing = used[state.id].lapses_in_s is not None
         self._cell.wake_planner()
 
-    async def _name_adopted(self) -> None:
-        """Have the store name executors for the jobs of which runs were adopted there.
+    async def _record_adopted(self) -> None:
+        """Record the placements of adopted runs.
 
-        From then on it names them for all jobs that may be there, in place of for any.
+        From then on only jobs that list the executor may be there, instead of any job.
         """
         heard = [s for s in self._cell.executors.values() if s.heard and not s.is_named]
         if not heard:
@@ -186,7 +187,7 @@
         await self._cell.recorder.wait_recorded()
         for state in heard:
             jobs = self._list_jobs_at([state])
-            state.is_named = all(job.places.covers(_name_held(job, state)) for job in jobs)
+            state.is_named = all(job.places.covers(_locate_held(job, state)) for job in jobs)
 
     def _list_jobs_at(self, states: list[ExecutorState]) -> list[JobState]:
         """Return the jobs of which runs may be at some executors."""
@@ -194,9 +195,9 @@
         return [self._cell.jobs[name] for name in names if name in self._cell.jobs]
 
 
-def _name_held(job: JobState, state: ExecutorState) -> Names:
-    """Return what the store is to name of a job as its runs are at an executor."""
-    return job.name_places(
+def _locate_held(job: JobState, state: ExecutorState) -> Names:
+    """Return the placements of a job's runs at an executor."""
+    return job.locate_attempts(
         attempt for attempt in state.list_held() if attempt.task.job == job.spec.id
     )
 
@@ -209,14 +210,14 @@
 
 def _encode_row(row: UsedExecutor) -> list[Any]:
     values = [row.address, row.pool, row.tasks, row.born, row.is_named]
-    # Left out where it says nothing, so that versions without it can read the record.
+    # Omitted if None, so that earlier versions can read the record.
     return values if row.lapses_in_s is None else [*values, row.lapses_in_s]
 
 
 def decode_used(data: bytes) -> dict[str, UsedExecutor] | Unreadable:
-    """Read which executors are in use, by id.
+    """Decode the executors in use, by id.
 
-    Earlier versions wrote no start, and named no executors for jobs.
+    Earlier versions stored no start time and no `is_named`.
     """
     try:
         return {str(name): _read_row(name, *row) for name, row in json.loads(data).items()}
@@ -234,10 +235,10 @@
     lapses_in_s: Any = None,
 ) -> UsedExecutor:
     if not isinstance(is_named, bool):
-        raise TypeError("whether jobs name it is true or false")
+        raise TypeError(f"is_named of executor {name} is not a boolean")
     keys = None if tasks is None else tuple(map(_read_task, tasks))
     life = read_life(name, born)
-    left_s = read_left_s(lapses_in_s)
+    left_s = read_remaining_s(lapses_in_s)
     return UsedExecutor(str(address), str(pool), keys, life.born, is_named, left_s)
 
 
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/watching.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/watching.py
@@ -1,4 +1,4 @@
-"""One task for each executor: it renews the holding time and takes in the reports."""
+"""Watches one executor each: renews its lease and processes its reports."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 import trio
 
-from .confirming import give_hold, is_to_be_confirmed, look_again
+from .confirming import needs_confirmation, probe_repeatedly, send_hold
 from .contact import needs_look
 from .events import describe_life, describe_run, log_event
 from .executor_link import (
@@ -29,49 +29,48 @@
 from .speed import measure_speed
 
 WAIT_S = 1.0
-EARLY_WAIT_S = 0.35
+SHORT_WAIT_S = 0.35
 YOUNG_S = 2.5
 PAUSE_S = 0.1
-LONGEST_PAUSE_S = 0.8
-EAGER_LOOKS = 2
-"""In a row: then it is silent rather than that answers are lost, and each look has a price."""
-KEPT_BACK_PAUSE_S = 0.25
-"""Between looks while an end is listed that may not be forgotten yet: a hold would not wait."""
-RECORD_PATIENCE_S = 0.25
-MOST_RUNS_LOGGED = 8
-PROVEN_S = 1.0
-"""A run that a report names so long after its start, or that has done so much, was not what crashes
-its executor by being started: those took 0.016 s."""
+MAX_PAUSE_S = 0.8
+MAX_EAGER_PROBES = 2
+"""After so many failed probes in a row the executor is unresponsive; lost answers are unlikely."""
+DEFERRED_ACK_PAUSE_S = 0.25
+"""Pause between polls while an acknowledgement is deferred, as a hold would return at once."""
+RECORD_TIMEOUT_S = 0.25
+MAX_RUNS_LOGGED = 8
+MIN_PROVEN_RUN_S = 1.0
+"""A run that lasted so long is not one that crashes its executor when it starts."""
 
 
 class ExecutorWatch:
-    """Holds one executor, whichever life it has, for as long as something may run there."""
+    """Renews an executor's lease, across its instances, for as long as something may run there."""
 
     def __init__(self, cell: OwnedCell, state: ExecutorState, depose: Callable[[], None]) -> None:
         self.cell = cell
         self.state = state
         self._depose = depose
-        self._silent = 0
-        self._logged: Life | None = None
-        self._asked_at = float("-inf")
+        self._failed_holds = 0
+        self._logged_instance: Life | None = None
+        self._hold_sent_at = float("-inf")
 
     async def run(self) -> None:
-        """Hold, read and take note until the executor is gone."""
+        """Renew, process reports and acknowledge ends until the executor is gone."""
         while not self.state.dead:
             while self._is_idle():
-                await self._pause(min(self.state.kept_back.values(), default=float("inf")))
-            if not self.cell.parts.may_order():
+                await self._pause(min(self.state.ack_deferred_until.values(), default=float("inf")))
+            if not self.cell.parts.may_send_orders():
                 await trio.sleep(PAUSE_S)
                 continue
-            await self._hold_once()
-            if self.state.dead or self._may_be_forgotten():
+            await self._renew_once()
+            if self.state.dead or self._can_be_dropped():
                 break
-        self.cell.note_life_over(self.state)
+        self.cell.handle_instance_end(self.state)
         self._close_all("the executor is gone")
         self.cell.executors.pop(self.state.id, None)
 
     async def _pause(self, until: float) -> None:
-        """Wait until there is something to do, or for a time on trio's clock."""
+        """Wait until there is something to do, or until a time on trio's clock."""
         self.state.wake = trio.Event()
         with trio.move_on_at(until):
             await self.state.wake.wait()
@@ -83,77 +82,80 @@
             and state.heard
             and state.silent_since is None
             and state.listed
-            and not any(map(_may_be_there, state.list_held()))
+            and not any(map(_may_exist, state.list_held()))
             and state.seen == state.noted
-            and state.told_seen >= state.find_tellable(trio.current_time())
-            and self._find_unasked() is None
-            and not self.cell.is_late_start_expected(state)
+            and state.told_seen >= state.find_acknowledgeable(trio.current_time())
+            and self._find_unprobed_entry() is None
+            and not self.cell.may_receive_late_start(state)
             and not needs_look(state)
         )
 
-    def _find_unasked(self) -> Executor | None:
-        """Return what the newest entry says of another life or another address, if not yet asked.
+    def _find_unprobed_entry(self) -> Executor | None:
+        """Return the newest entry with another instance or address, if it has not been probed yet.
 
-        By identity: an entry that is written again has it asked again.
+        Entries are compared by identity, so that a rewritten entry is probed again.
         """
         said = self.state.announced or self.state.elsewhere
         return None if said is self.state.asked else said
 
-    def _may_be_forgotten(self) -> bool:
+    def _can_be_dropped(self) -> bool:
         if self.state.listed or self.cell.late_starts.list_open(self.state.id):
             return False
         return trio.current_time() > self.state.lapse_by
 
-    async def _hold_once(self) -> None:
-        state, said = self.state, self._find_unasked()
+    async def _renew_once(self) -> None:
+        state, said = self.state, self._find_unprobed_entry()
         if said is not None and said.address != state.executor.address:
-            await self._ask_elsewhere(said)
+            await self._probe_new_address(said)
             if self.state is not state:
                 return
         sent = trio.current_time()
         is_asked_for = needs_look(state)
-        order = self._make_hold(sent, said)
-        self._asked_at = sent
-        if is_asked_for or 0 < self._silent <= EAGER_LOOKS:
-            outcome, sent = await look_again(self.cell, state)
+        order = self._make_hold_order(sent, said)
+        self._hold_sent_at = sent
+        if is_asked_for or 0 < self._failed_holds <= MAX_EAGER_PROBES:
+            outcome, sent = await probe_repeatedly(self.cell, state)
         else:
-            outcome = await give_hold(self.cell, state, order)
+            outcome = await send_hold(self.cell, state, order)
         if isinstance(outcome, Report):
-            await self._note_report(outcome, order, sent)
+            await self._handle_report(outcome, order, sent)
             if state is self.state:
                 state.asked = said or state.asked
-            if self.state.kept_back:
-                await self._pause(sent + KEPT_BACK_PAUSE_S)
+            if self.state.ack_deferred_until:
+                await self._pause(sent + DEFERRED_ACK_PAUSE_S)
         elif isinstance(outcome, OtherLife):
-            state.note_over()
+            state.mark_ended()
         elif isinstance(outcome, Refused) and outcome.reason is Refusal.FENCED:
             self._depose()
             await trio.sleep(PAUSE_S)
         else:
-            await self._note_silence(outcome)
+            await self._handle_failed_hold(outcome)
 
-    def _make_hold(self, now: float, said: Executor | None) -> HoldOrder:
+    def _make_hold_order(self, now: float, said: Executor | None) -> HoldOrder:
         state, token = self.state, self.cell.term.number
         if needs_look(state):
             return HoldOrder(token, 0, None, 0.0)
         until = self._choose_deadline(now)
-        # Without its entry it is asked until nothing can be there; each look at it has a price.
-        is_kept = state.list_held() or not state.listed or self.cell.is_late_start_expected(state)
-        waits = state.heard and is_kept and state.seen == state.noted and not state.kept_back
-        # Whoever answers after a silence does so at once: another life has no end to wait for.
-        waits = waits and said is None and not self._silent
+        # Without an entry, poll until its lease has expired; long polls keep the number of calls
+        # low.
+        is_kept = state.list_held() or not state.listed or self.cell.may_receive_late_start(state)
+        waits = (
+            state.heard and is_kept and state.seen == state.noted and not state.ack_deferred_until
+        )
+        # A new instance has no run to wait for, so do not long-poll after a failure.
+        waits = waits and said is None and not self._failed_holds
         wait_s = self._choose_wait(now) if waits else 0.0
-        return HoldOrder(token, self._choose_seen(), until, wait_s)
+        return HoldOrder(token, self._choose_acknowledged_end(), until, wait_s)
 
-    async def _ask_elsewhere(self, said: Executor) -> None:
-        """Ask at the address that an entry names, for the life that it names alone."""
+    async def _probe_new_address(self, said: Executor) -> None:
+        """Probe the address that an entry names, accepting only the instance named there."""
         sent = trio.current_time()
         order = HoldOrder(self.cell.term.number, 0, None, 0.0)
         outcome = await self.cell.parts.link.hold(said, order)
         if not isinstance(outcome, Report) or outcome.born != said.born:
             return
         state = self.state
-        await self._note_report(outcome, order, sent)
+        await self._handle_report(outcome, order, sent)
         if state.elsewhere is said:
             state.describe(said)
             state.evacuated = self.cell.is_evacuated(state)
@@ -161,25 +163,24 @@
             self.cell.note_use()
             self.cell.wake_planner()
 
-    def _choose_seen(self) -> int:
-        """Return up to which number ends may be forgotten, 0 where that needs no telling.
+    def _choose_acknowledged_end(self) -> int:
+        """Return the highest end number to acknowledge, 0 if there is nothing new.
 
-        Told once, and only right after a report: a life that began meanwhile numbers its ends from
-        1, and would forget them before anybody has read them.
+        Sent only once, right after a report: a new instance numbers its ends from 1, and would drop
+        ends that have not been read.
         """
         state = self.state
         has_reported = state.heard or state.clock is not None
-        is_confirmed = has_reported and self._silent == 0
-        seen = state.find_tellable(trio.current_time())
+        is_confirmed = has_reported and self._failed_holds == 0
+        seen = state.find_acknowledgeable(trio.current_time())
         return seen if is_confirmed and seen > state.told_seen else 0
 
-    async def _note_report(self, report: Report, order: HoldOrder, sent: float) -> None:
-        """Take in what an executor reports, and whether it is another life than the one known."""
-        self._silent = 0
-        self._log_life(report, order)
+    async def _handle_report(self, report: Report, order: HoldOrder, sent: float) -> None:
+        """Process a report, which may come from a new instance."""
+        self._failed_holds = 0
+        self._log_instance(report, order)
         if report.born and report.born != self.state.life.born:
-            # Its runs, the numbers of its ends and its clock are its own, so nothing that was
-            # noted of the life before may be used: 14 starts of 6 tasks came of that.
+            # Runs, end numbers and the clock belong to one instance, so none may be carried over.
             self.state = begin_life(self.cell, self.state, report, sent)
         else:
             self.state.told_seen = max(self.state.told_seen, order.seen)
@@ -190,10 +191,10 @@
             self.cell.note_use()
         await self._take_report(report, sent, trio.current_time())
 
-    def _log_life(self, report: Report, order: HoldOrder) -> None:
-        """Log which life reports, and how its ends' numbers stand beside those noted and told."""
+    def _log_instance(self, report: Report, order: HoldOrder) -> None:
+        """Log each instance once, with its end numbers and the ones processed before."""
         life = Life(self.state.id, report.born)
-        if life == self._logged:
+        if life == self._logged_instance:
             return
         numbers = [end.number for end in report.ended]
         log_event(
@@ -206,22 +207,22 @@
             runs=len(report.running),
             clock_ms=report.clock_ms,
         )
-        self._logged = life
+        self._logged_instance = life
 
     def _choose_wait(self, now: float) -> float:
-        """Return how long it may wait for an end, which a run that is not there never has."""
-        if any(is_to_be_confirmed(a, self._asked_at) for a in self.state.list_held()):
+        """Return how long a hold may wait for an end; 0.0 while a stop is to be confirmed."""
+        if any(needs_confirmation(a, self._hold_sent_at) for a in self.state.list_held()):
             return 0.0
         if not self.cell.parts.policy.look_early:
             return WAIT_S
         young = any(
-            now - attempt.ordered_at < YOUNG_S and self._is_compared(attempt)
+            now - attempt.ordered_at < YOUNG_S and self._is_speed_compared(attempt)
             for attempt in self.state.attempts.values()
         )
-        return EARLY_WAIT_S if young else WAIT_S
+        return SHORT_WAIT_S if young else WAIT_S
 
-    def _is_compared(self, attempt: Attempt) -> bool:
-        """Whether early readings tell whether a run gets on: those of a gang's members do."""
+    def _is_speed_compared(self, attempt: Attempt) -> bool:
+        """Return whether early progress readings are useful, as for the members of a gang."""
         job = self.cell.jobs.get(attempt.task.job)
         if job is None:
             return False
@@ -229,53 +230,53 @@
         return spec.gang and spec.count > 1
 
     def _choose_deadline(self, now: float) -> int | None:
-        """Return until when to hold; a silent executor is only looked at.
+        """Return the lease deadline to ask for, None to leave it unchanged.
 
-        An order without an answer may be carried out, so it would move the time after
-        which everything there has certainly ended. What is to be stopped and whose stops
-        nobody answers is not kept at work either.
+        An unresponsive executor is only probed: a renewal without an answer may be carried out, and
+        would extend the time until its runs have certainly ended. The lease is not renewed either
+        where everything is to be stopped and no stop is answered.
         """
-        if self._silent or all(map(_is_stop_open, self.state.list_held())):
+        if self._failed_holds or all(map(_is_stop_pending, self.state.list_held())):
             return None
         return self.state.deadline_ms(now, self.cell.parts.timing.hold_s)
 
-    async def _note_silence(self, outcome: HoldOutcome) -> None:
+    async def _handle_failed_hold(self, outcome: HoldOutcome) -> None:
         now = trio.current_time()
-        self._silent += 1
-        if self._silent == 1:
+        self._failed_holds += 1
+        if self._failed_holds == 1:
             self._log_silence(outcome, now)
         if isinstance(outcome, Unanswered):
             if self.state.silent_since is None:
                 self.cell.crashes.note_silence(self.state, now)
-                # Asked for until it answers, also if it is another life by then.
+                # Sent until it answers, as it may be another instance by then.
                 self.cell.stop_late_starts(self.state)
                 self.cell.note_use()
             self.state.has_refused |= outcome.unsent
-            # Kept at once, also where it may as well be cut off: an owner that is gone before the
-            # holding time runs out would take its count of crashes with it.
+            # Recorded at once, although it may only be partitioned: this owner may be gone before
+            # the lease ends.
             self.cell.crashes.note_down(self.state)
-        self.state.tell_news()
-        self.state.rest_until = max(self.state.rest_until, now + LONGEST_PAUSE_S)
+        self.state.notify_waiters()
+        self.state.rest_until = max(self.state.rest_until, now + MAX_PAUSE_S)
         if now > self.state.lapse_by and self.state.heard:
             self.cell.crashes.note_down(self.state)
-            self.cell.give_up_at(self.state)
-            self._close_over("the holding time has run out")
-        await trio.sleep(min(LONGEST_PAUSE_S, PAUSE_S * 2 ** min(self._silent, 4)))
+            self.cell.fail_crashing_jobs_at(self.state)
+            self._close_expired("the holding time has run out")
+        await trio.sleep(min(MAX_PAUSE_S, PAUSE_S * 2 ** min(self._failed_holds, 4)))
 
     def _log_silence(self, outcome: HoldOutcome, now: float) -> None:
-        """Log how the silence showed, and how old what may run there is, the youngest first."""
+        """Log why the executor counts as unresponsive, and its youngest attempts."""
         held = sorted(self.state.list_held(), key=lambda attempt: -attempt.ordered_at)
         log_event(
             "executor.silent",
             **describe_life(self.state.life),
-            sign=_describe_sign(outcome),
+            sign=_describe_failure(outcome),
             listed=self.state.listed,
             leaves=self.state.leaves_at is not None,
             runs=len(held),
             youngest=[
                 describe_run(attempt.task, attempt.run, attempt.life)
                 | {"age_s": round(now - attempt.ordered_at, 3), "percent": attempt.percent}
-                for attempt in held[:MOST_RUNS_LOGGED]
+                for attempt in held[:MAX_RUNS_LOGGED]
             ],
         )
 
@@ -284,8 +285,8 @@
             self.cell.close(attempt, why)
             self.cell.stop_gang(attempt, why)
 
-    def _close_over(self, why: str) -> None:
-        """Close what can't be here any more, nor at another life that begins now."""
+    def _close_expired(self, why: str) -> None:
+        """Close the attempts that can't be here, nor be started by a new instance."""
         for attempt in self.state.list_held():
             if not self.cell.late_starts.is_open(attempt):
                 self.cell.close(attempt, why)
@@ -293,23 +294,23 @@
 
     async def _take_report(self, report: Report, sent: float, received: float) -> None:
         state = self.state
-        state.note_reported(received)
+        state.mark_reported(received)
         state.read_clock(sent, received, report.clock_ms)
         listed = {(run.task, run.run) for run in report.running}
         fresh = [end for end in report.ended if end.number > state.noted]
         for end in sorted(fresh, key=lambda end: end.number):
             state.noted = end.number
             self.cell.note_end(state, end)
-            self._keep_back(end)
+            self._defer_acknowledgement(end)
         if report.running and state.lapse_by < received:
-            # What another life began for nobody that is known would else be closed as gone with it.
+            # Runs that a new instance started for a late order would otherwise be closed at once.
             longest_s = self.cell.parts.timing.longest_hold_s * (1 + CLOCK_DRIFT)
             state.lapse_by = received + longest_s + LAPSE_MARGIN_S
         for run in report.running:
-            self._note_running(run, received)
+            self._update_running(run, received)
         if report.is_complete:
-            self._close_vanished(listed, sent)
-            self._close_lapsed(listed, sent)
+            self._close_unlisted(listed, sent)
+            self._close_unanswered_stops(listed, sent)
         if not state.heard and report.is_complete:
             state.heard = True
             log_event(
@@ -319,44 +320,44 @@
             self.cell.wake_planner()
         await self._wait_recorded()
 
-    def _keep_back(self, end: EndedRun) -> None:
-        """Have an end listed for as long as another start of its task may come to a next life.
+    def _defer_acknowledgement(self, end: EndedRun) -> None:
+        """Defer the acknowledgement of an end while another start of its task may be carried out.
 
-        That life would run again what was taken note of as done. What the store has is told to
-        callers at once all the same.
+        A new instance of the executor would repeat the run if nothing refused that start. The end
+        is recorded and reported to callers without delay.
         """
-        until = self.cell.late_starts.find_end(end.task)
+        until = self.cell.late_starts.find_deadline(end.task)
         if until > trio.current_time():
-            self.state.kept_back[end.number] = until
+            self.state.ack_deferred_until[end.number] = until
 
     async def _wait_recorded(self) -> None:
-        """Take note of ends only once they are in the store."""
+        """Acknowledge ends only once they are in the store."""
         state = self.state
         if state.seen == state.noted:
             return
         noted = state.noted
-        with trio.move_on_after(RECORD_PATIENCE_S):
+        with trio.move_on_after(RECORD_TIMEOUT_S):
             await self.cell.recorder.wait_recorded()
             state.seen = noted
 
-    def _note_running(self, run: RunningRun, received: float) -> None:
+    def _update_running(self, run: RunningRun, received: float) -> None:
         task = self.cell.find_task(run.task)
         job = self.cell.jobs.get(run.task.job)
         if task is None or job is None:
-            self.cell.stop_astray(self.state, run.task, run.run)
+            self.cell.stop_orphan(self.state, run.task, run.run)
             return
         attempt = task.attempt
         if attempt is None or attempt.executor != self.state.id or attempt.run != run.run:
             if attempt is None:
                 self._adopt(run, received)
             else:
-                self.cell.stop_astray(self.state, run.task, run.run)
+                self.cell.stop_orphan(self.state, run.task, run.run)
             return
-        self.cell.note_checkpoint(task, run.run, run.checkpoint)
-        if not attempt.seen and attempt.is_one_send_open:
+        self.cell.update_checkpoint(task, run.run, run.checkpoint)
+        if not attempt.seen and attempt.has_single_unresolved_send:
             self.cell.late_starts.settle(attempt)
         attempt.seen = True
-        if attempt.sends and received - attempt.sent_at >= PROVEN_S:
+        if attempt.sends and received - attempt.sent_at >= MIN_PROVEN_RUN_S:
             task.works = True
             self.cell.crashes.end_trial(run.task, self.state.life)
         if attempt.phase is Phase.STARTING:
@@ -374,7 +375,7 @@
                 attempt.began_percent = run.percent
 
     def _far_factor(self, job: JobState, attempt: Attempt) -> float:
-        """Return how many times as long the attempt takes because of where it runs."""
+        """Return the slowdown of an attempt by its distance from data or gang members."""
         step = job.step_of(attempt.task)
         far = self.cell.parts.timing.far_factor
         if step.spec.data_rack and self.state.executor.rack != step.spec.data_rack:
@@ -386,7 +387,7 @@
         return far if len(racks) > 1 else 1.0
 
     def _adopt(self, run: RunningRun, received: float) -> None:
-        """Take over a run that an earlier owner started."""
+        """Create an attempt for a run that an earlier owner started."""
         job = self.cell.jobs[run.task.job]
         task = self.cell.find_task(run.task)
         assert task is not None
@@ -399,31 +400,30 @@
         attempt.percent = run.percent
         attempt.began_at = received
         attempt.began_percent = run.percent
-        task.works |= run.percent / 100 * step.spec.estimate_s >= PROVEN_S
+        task.works |= run.percent / 100 * step.spec.estimate_s >= MIN_PROVEN_RUN_S
         task.last_run = max(task.last_run, run.run)
-        self.cell.note_checkpoint(task, run.run, run.checkpoint)
+        self.cell.update_checkpoint(task, run.run, run.checkpoint)
         self.cell.place(task, attempt, self.state)
         job.begun = True
         log_event("run.adopted", **describe_run(run.task, run.run, self.state.life))
         if task.done or not job.is_active:
             self.cell.request_stop(attempt, "not wanted any more")
 
-    def _close_lapsed(self, listed: set[tuple[TaskKey, int]], sent: float) -> None:
-        """Close what a report does not name that was asked for after the holding time was over.
+    def _close_unanswered_stops(self, listed: set[tuple[TaskKey, int]], sent: float) -> None:
+        """Close stopping attempts that a report requested after the lease expired does not list.
 
-        An executor that answers holds and turns every stop away would else keep its tasks from
-        being started anywhere for as long as it does.
+        Otherwise an executor that answers holds but refuses every stop would block its tasks.
         """
         if sent <= self.state.lapse_by:
             return
         for attempt in self.state.list_held():
-            if _is_stop_open(attempt) and (attempt.task, attempt.run) not in listed:
-                # It answers, and refuses each send as late: its task waits no longer for its end.
+            if _is_stop_pending(attempt) and (attempt.task, attempt.run) not in listed:
+                # It refuses late sends of the expired lease, so the start is resolved as well.
                 self.cell.late_starts.settle(attempt)
                 self.cell.close(attempt, "the holding time has run out")
 
-    def _close_vanished(self, listed: set[tuple[TaskKey, int]], sent: float) -> None:
-        """Close attempts that a report does not name, asked for after their orders were settled."""
+    def _close_unlisted(self, listed: set[tuple[TaskKey, int]], sent: float) -> None:
+        """Close attempts that are missing in a report requested after their orders were settled."""
         for attempt in self.state.list_held():
             if attempt.settled_at == UNSETTLED or attempt.settled_at > sent:
                 continue
@@ -434,18 +434,18 @@
                     self.cell.stop_gang(attempt, "a member is not there")
 
 
-def _describe_sign(outcome: HoldOutcome) -> str:
-    """Return how an executor showed that it does not report: no answer, refused or unhealthy."""
+def _describe_failure(outcome: HoldOutcome) -> str:
+    """Return how a hold failed: no answer, connection refused, or turned away."""
     if isinstance(outcome, Unanswered):
         return "refused" if outcome.unsent else "no answer"
     return "unhealthy" if isinstance(outcome, Unhealthy) else "turned away"
 
 
-def _may_be_there(attempt: Attempt) -> bool:
-    """Whether anything of an attempt may be at its executor, as its start has been sent."""
+def _may_exist(attempt: Attempt) -> bool:
+    """Return whether the run of an attempt may exist, as its start was sent."""
     return attempt.sends > 0 or attempt.phase is not Phase.STARTING
 
 
-def _is_stop_open(attempt: Attempt) -> bool:
-    """Whether an attempt is to be stopped and nothing has settled yet that it is."""
+def _is_stop_pending(attempt: Attempt) -> bool:
+    """Return whether an attempt is to be stopped and no answer has settled that yet."""
     return attempt.phase is Phase.STOPPING and attempt.settled_at == UNSETTLED
--- a/packages/heronthread-dispatch/tests/test_late_over_takeover.py
+++ b/packages/heronthread-dispatch/tests/test_late_over_takeover.py
@@ -20,7 +20,7 @@
 """From an owner's death to the next one's term."""
 HOLDING_S = 7.5
 """From a term's beginning until a silent executor holds nothing any more."""
-LATE_ORDER_S = 12.0
+MAX_ORDER_DELAY_S = 12.0
 """By how much a start without an answer is late at most."""
 NOTED_EACH_S = 1.5
 """How old what an owner has left in the store of that time may be."""
@@ -236,16 +236,16 @@
     an answer may yet be carried out" with `for_s` 3.0 at 6.56, 13.81 and 21.06.
     """
     async with EmulatedSite.open(hosts=4, executors=1) as site:
-        place = await _lose_start(site, LATE_ORDER_S)
+        place = await _lose_start(site, MAX_ORDER_DELAY_S)
         site.executors.crash("e0")
         place.is_down = True
         await site.wait_for_owner()
-        late_until = trio.current_time() + LATE_ORDER_S
+        late_orders_until = trio.current_time() + MAX_ORDER_DELAY_S
         for _ in range(2):
             await trio.sleep(5.0)
             site.kill_host(await site.wait_for_owner())
             await site.wait_for_owner()
         # What passes between two owners, nobody can count.
-        late_until += 2 * (TAKEN_S + NOTED_EACH_S)
-        await trio.sleep_until(late_until + PLAN_S)
+        late_orders_until += 2 * (TAKEN_S + NOTED_EACH_S)
+        await trio.sleep_until(late_orders_until + PLAN_S)
         assert len(site.executors.starts(TASK)) == 1
--- a/packages/heronthread-dispatch/tests/test_late_sent_again.py
+++ b/packages/heronthread-dispatch/tests/test_late_sent_again.py
@@ -13,7 +13,7 @@
 
 Clock = trio.testing.MockClock
 TASK = TaskKey("a", 0, 0)
-LATE_ORDER_S = 12.0
+MAX_ORDER_DELAY_S = 12.0
 STORY_S = 13.0
 """After so long an owner writes nothing any more on account of earlier owners."""
 
@@ -51,7 +51,7 @@
         await _send_again(site, 8.0, 7.0)
         await trio.sleep(0.3)
         left_s = _read(site).starts_left_s
-        assert left_s is None or left_s >= LATE_ORDER_S - 0.5
+        assert left_s is None or left_s >= MAX_ORDER_DELAY_S - 0.5
 
 
 async def test_late_start_that_was_sent_again_runs_beside_no_other(autojump_clock: Clock) -> None:
@@ -95,4 +95,4 @@
         await site.wait_for_owner()
         taken_at = trio.current_time()
         left_s = _read(site).starts_left_s
-        assert left_s is None or taken_at + left_s >= sent_at + LATE_ORDER_S - 0.5
+        assert left_s is None or taken_at + left_s >= sent_at + MAX_ORDER_DELAY_S - 0.5
--- a/packages/heronthread-dispatch/tests/test_late_start_waits.py
+++ b/packages/heronthread-dispatch/tests/test_late_start_waits.py
@@ -1,7 +1,7 @@
 """How long a job is kept back for a start without an answer, as owners change."""
 
 import trio
-from heronthread_dispatch.late_starts import LATE_ORDER_S
+from heronthread_dispatch.late_starts import MAX_ORDER_DELAY_S
 from heronthread_dispatch.model import TaskKey
 from heronthread_emulator import EmulatedSite, Violation, check_promises
 from heronthread_emulator.executors import MOST_HOLD_S
@@ -44,7 +44,7 @@
             await trio.sleep(OWNERS_LAST_S)
             await _lose_owner(site)
         await site.wait_for_owner()
-        over_at = sent_at + LATE_ORDER_S + MOST_HOLD_S * CLOCK_DRIFT
+        over_at = sent_at + MAX_ORDER_DELAY_S + MOST_HOLD_S * CLOCK_DRIFT
         await trio.sleep(max(0.0, over_at - trio.current_time()) + NOTED_EACH_S)
         return len(site.executors.starts(task)), check_promises(site.executors, {})
 
--- a/packages/heronthread-dispatch/tests/test_late_starts.py
+++ b/packages/heronthread-dispatch/tests/test_late_starts.py
@@ -5,9 +5,9 @@
 import trio
 from heronthread_dispatch.fleet import ExecutorState, make_executor
 from heronthread_dispatch.late_starts import (
-    AGAIN_S,
-    LATE_ORDER_S,
+    MAX_ORDER_DELAY_S,
     NOWHERE,
+    RETRY_REFUSED_S,
     LateStart,
     LateStarts,
 )
@@ -31,7 +31,7 @@
     starts.note(second)
     assert starts.list_open("e0") == [LateStart(first.task, 1), LateStart(first.task, 2)]
     assert starts.list_open("e1") == []
-    await trio.sleep(LATE_ORDER_S - 5.0)
+    await trio.sleep(MAX_ORDER_DELAY_S - 5.0)
     assert not starts.is_open(first)
     assert starts.is_open(second)
 
@@ -42,7 +42,7 @@
     for run in range(100):
         starts.note(_make_attempt(run))
         await trio.sleep(1.0)
-    assert len(starts._until["e0"]) <= LATE_ORDER_S + 1
+    assert len(starts._until["e0"]) <= MAX_ORDER_DELAY_S + 1
 
 
 def _make_state(name: str, born: int) -> ExecutorState:
@@ -61,16 +61,16 @@
     assert starts.find_pins(states) == {first.task: NOWHERE}
     starts.note_refused(Life("e0", 7), first.task, 1)
     assert starts.find_pins(states) == {first.task: "e0"}
-    starts.note_turned_away(first.task)
+    starts.note_start_refused(first.task)
     assert starts.find_pins(states) == {first.task: NOWHERE}
-    await trio.sleep(AGAIN_S)
+    await trio.sleep(RETRY_REFUSED_S)
     states["e0"].silent_since = trio.current_time()
     assert starts.find_pins(states) == {first.task: NOWHERE}
     states["e0"] = _make_state("e0", 9)
     assert starts.find_pins(states) == {first.task: NOWHERE}
     starts.note_refused(Life("e0", 9), first.task, 1)
     assert starts.find_pins(states) == {first.task: "e0"}
-    await trio.sleep(LATE_ORDER_S)
+    await trio.sleep(MAX_ORDER_DELAY_S)
     assert starts.find_pins(states) == {}
 
 
@@ -108,7 +108,7 @@
     first.sent_at = trio.current_time()
     starts.settle(first, starts.note(first))
     assert starts.is_open(first)
-    await trio.sleep(LATE_ORDER_S - 1.0)
+    await trio.sleep(MAX_ORDER_DELAY_S - 1.0)
     assert not starts.is_open(first)
 
 
--- a/packages/heronthread-dispatch/tests/test_lives.py
+++ b/packages/heronthread-dispatch/tests/test_lives.py
@@ -23,7 +23,7 @@
     Report,
     Unanswered,
 )
-from heronthread_dispatch.late_starts import LATE_ORDER_S
+from heronthread_dispatch.late_starts import MAX_ORDER_DELAY_S
 from heronthread_dispatch.model import Executor, Resources, TaskKey
 from heronthread_dispatch.record import JobStatus
 from heronthread_dispatch.used import UsedExecutor, decode_used
@@ -195,7 +195,7 @@
         place.lose_starts, place.late_s = 1, 6.0
         for job in ("a", "b", "c"):
             await _hand_in(site, told, job, work_s=1.0)
-        await trio.sleep(LATE_ORDER_S + 2.0)
+        await trio.sleep(MAX_ORDER_DELAY_S + 2.0)
         await _check(site, told, set())
         ends = {(e.life, e.number) for e in site.executors.events if e.what == "done"}
         assert len(ends) == 3
@@ -427,7 +427,7 @@
         watch = ExecutorWatch(owner.cell, owner.cell.executors["e0"], owner.depose)
         watch.state.noted = watch.state.seen = 5
         report = Report(100, (), (), born=watch.state.life.born + 1)
-        await watch._note_report(report, HoldOrder(1, 5, None, 0.0), trio.current_time())
+        await watch._handle_report(report, HoldOrder(1, 5, None, 0.0), trio.current_time())
         assert owner.cell.executors["e0"] is watch.state
         assert (watch.state.noted, watch.state.seen, watch.state.told_seen) == (0, 0, 0)
 
--- a/packages/heronthread-dispatch/tests/test_places.py
+++ b/packages/heronthread-dispatch/tests/test_places.py
@@ -136,28 +136,28 @@
 def test_a_record_that_names_none_may_mean_any() -> None:
     places = JobPlaces()
     places.restore(None)
-    assert places.find_doubtful({"a"}, ()) == ANY
+    assert places.find_uncertain({"a"}, ()) == ANY
     assert places.list_for_store(name_all("b")) is None
-    places.drop_known(())
+    places.drop_resolved(())
     assert places.list_for_store(name_all("b")) == {"b": ANY}
 
 
 def test_what_is_in_doubt_stays_named_until_it_is_known() -> None:
     places = JobPlaces()
     places.restore({"a": 0b01, "b": 0b10})
-    places.drop_known({"a", "z"})
-    assert places.find_doubtful({"a"}, ()) == 0b01
-    assert places.find_doubtful({"b"}, ()) == 0
+    places.drop_resolved({"a", "z"})
+    assert places.find_uncertain({"a"}, ()) == 0b01
+    assert places.find_uncertain({"b"}, ()) == 0
     assert places.list_for_store({"a": 0b10, "c": 0b10}) == {"a": 0b11, "c": 0b10}
 
 
 def test_starts_of_an_earlier_owner_that_are_not_listed_may_be_late() -> None:
     places = JobPlaces()
     places.restore({"a": 0b01, "b": 0b10})
-    places.drop_known(())
-    assert places.find_doubtful((), {"b"}) == 0b10
+    places.drop_resolved(())
+    assert places.find_uncertain((), {"b"}) == 0b10
     places.restore({"a": 0b01, "b": 0b10}, starts=frozenset())
-    assert places.find_doubtful((), {"b"}) == 0
+    assert places.find_uncertain((), {"b"}) == 0
 
 
 def test_places_of_an_earlier_owner_that_lists_its_starts_are_handed_on_only_in_doubt() -> None:
@@ -166,7 +166,7 @@
         places = JobPlaces()
         places.restore({"a": 0b01}, starts)
         assert places.list_for_store({}) == {"a": 0b01}
-        places.drop_known(())
+        places.drop_resolved(())
         places.late = places.earlier
         assert places.list_for_store({}) == handed_on
 
@@ -174,11 +174,11 @@
 def test_what_a_write_without_an_answer_names_no_more_is_named_once_more() -> None:
     """Else a run that ends as the store goes would take its task's place away."""
     places = JobPlaces()
-    places.note_left("a", 0b01)
+    places.add_left("a", 0b01)
     names = places.list_for_store({"b": 0b10})
     assert names == {"a": 0b01, "b": 0b10}
     places.begin_write(names)
-    places.note_left("a", 0b10)
+    places.add_left("a", 0b10)
     places.end_write(names)
     assert places.list_for_store({}) == {"a": 0b10}
 
@@ -357,7 +357,7 @@
         other = next(name for name in site.executors.by_id if name != first)
         assert host.owner is not None
         cell = host.owner.cell
-        cell.stop_astray(cell.executors[other], TaskKey("a", 0, 0), 7)
+        cell.stop_orphan(cell.executors[other], TaskKey("a", 0, 0), 7)
         site.executors.by_id[other].is_cut = True
         cell.recorder.mark(cell.jobs["a"])
         await trio.sleep(0.1)
--- a/packages/heronthread-dispatch/tests/test_refusals.py
+++ b/packages/heronthread-dispatch/tests/test_refusals.py
@@ -153,7 +153,7 @@
         site.say("e0")
         site.executors.by_id["e0"] = before
         await trio.sleep(1.0)
-        assert _find_refusal(site) is WorkRefusal.OTHER_LIFE
+        assert _find_refusal(site) is WorkRefusal.OTHER_INSTANCE
         before.is_gone = True
         site.executors.by_id["e0"] = later
         await _beat(site, STANDS_S)
@@ -270,7 +270,7 @@
     async with EmulatedSite.open(hosts=1, executors=1) as site:
         await site.wait_for_owner()
         await trio.sleep(2.0)
-        _state(site).note_over()
+        _state(site).mark_ended()
         await _beat(site, STANDS_S)
         assert _find_refusal(site) is None
 
--- a/packages/heronthread-dispatch/tests/test_spares.py
+++ b/packages/heronthread-dispatch/tests/test_spares.py
@@ -1,5 +1,5 @@
 import trio
-from heronthread_dispatch.spares import POOL_PART, SPARES
+from heronthread_dispatch.spares import MAX_SPARES, POOL_DIVISOR
 from heronthread_emulator import EmulatedSite
 
 Clock = trio.testing.MockClock
@@ -24,7 +24,7 @@
         assert host.owner is not None
         jobs = host.owner.cell.jobs
         spares = [jobs[f"w{number}"].places.spare for number in range(12)]
-        assert {len(spare) for spare in spares} == {min(SPARES, 24 // POOL_PART)}
+        assert {len(spare) for spare in spares} == {min(MAX_SPARES, 24 // POOL_DIVISOR)}
         assert len(set(spares)) > 6
         assert all(jobs[f"w{n}"].places.covers(dict.fromkeys(spares[n], 1)) for n in range(12))
         await trio.sleep(12.0)
@@ -79,4 +79,4 @@
         await site.wait_for_owner()
         await trio.sleep(3.0)
         started = {start.task.job for start in site.executors.starts()} - {"long"}
-        assert len(started) >= 24 - 2 * 24 // POOL_PART
+        assert len(started) >= 24 - 2 * 24 // POOL_DIVISOR
--- a/packages/heronthread-dispatch/tests/test_used.py
+++ b/packages/heronthread-dispatch/tests/test_used.py
@@ -6,7 +6,13 @@
 import trio
 from heronthread_dispatch.model import TaskKey
 from heronthread_dispatch.record import Unreadable
-from heronthread_dispatch.used import NOTE_EACH_S, USED_KEY, UsedExecutor, decode_used, encode_used
+from heronthread_dispatch.used import (
+    NOTE_INTERVAL_S,
+    USED_KEY,
+    UsedExecutor,
+    decode_used,
+    encode_used,
+)
 from heronthread_emulator import EmulatedSite, check_promises
 
 Clock = trio.testing.MockClock
@@ -77,7 +83,7 @@
         await site.wait_for_owner()
         await trio.sleep(9.0)
         left_s = _read_left_s(site, "e0")
-        assert left_s is not None and left_s <= NOTE_EACH_S
+        assert left_s is not None and left_s <= NOTE_INTERVAL_S
         site.start_host(owner)
         await trio.sleep(1.0)
         site.kill_host(await site.wait_for_owner())
