--- a/packages/heronthread-dispatch/src/heronthread_dispatch/doubts.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/doubts.py
@@ -61,8 +61,8 @@
 def _may_have_successor(state: ExecutorState, deadlines: Deadlines) -> bool:
     if state.dead or is_sole_instance(state):
         return False
-    is_said = state.announced is not None and state.announced is not state.asked
-    if is_said or (state.is_said_anew and not state.heard):
+    is_announced = state.announced is not None and state.announced is not state.asked
+    if is_announced or (state.is_said_anew and not state.heard):
         return deadlines.now < deadlines.late_orders_until
     if not state.heard:
         if not state.is_inherited:
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/fleet.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/fleet.py
@@ -13,8 +13,7 @@
 CLOCK_DRIFT = 0.03
 LAPSE_MARGIN_S = 0.3
 MAX_ROUND_TRIP_S = 0.3
-"""Bounds how much a long round trip can extend a lease; a new owner waits 1.2 s in addition to one.
-"""
+"""How much a long round trip may extend a lease, out of the 1.2 s that a new owner waits longer."""
 MIN_BACKOFF_S = 0.7
 MAX_BACKOFF_S = 6.0
 
@@ -43,7 +42,7 @@
 
     - `clock`: (sent, received, clock in ms) of the clock reading with the shortest round trip.
     - `lapse_by`: when everything there has certainly ended unless the lease is renewed.
-    - `noted`: the highest end processed; `seen`: the highest end in the store; `told_seen`: the
+    - `noted`: the highest end processed; `seen`: the highest end in the store; `acknowledged`: the
       highest end acknowledged to the executor. Ends in `ack_deferred_until` are acknowledged at
       their times.
     - `heard`: it has reported to this owner.
@@ -77,7 +76,7 @@
     lapse_by: float = float("-inf")
     noted: int = 0
     seen: int = 0
-    told_seen: int = 0
+    acknowledged: int = 0
     ack_deferred_until: dict[int, float] = field(default_factory=dict)
     heard: bool = False
     silent_since: float | None = None
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/late_starts.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/late_starts.py
@@ -97,7 +97,7 @@
         self._refused_at[task] = trio.current_time()
 
     def find_pins(
-        self, executors: Mapping[str, ExecutorState], unsure: Collection[str] = ()
+        self, executors: Mapping[str, ExecutorState], uncertain: Collection[str] = ()
     ) -> dict[TaskKey, str]:
         """Return the only executor at which each task with unresolved starts may be started.
 
@@ -105,7 +105,7 @@
         after this one has ended with all its runs. The value is `NOWHERE` while there is no such
         instance. An executor that is leaving or evacuated pins no task once its instance refuses
         the starts. A start of an earlier owner pins no task to an unresponsive executor unless that
-        is among the `unsure` ones.
+        is among the `uncertain` ones.
         """
         found: dict[TaskKey, str] = {}
         latest = trio.current_time() - RETRY_REFUSED_S
@@ -116,7 +116,7 @@
                 is_refused = state is not None and self._is_refused(state, start)
                 if is_refused and state is not None and _accepts_no_work(state):
                     continue
-                if start.is_inherited and not is_refused and name not in unsure:
+                if start.is_inherited and not is_refused and name not in uncertain:
                     continue
                 is_free = is_refused and start.task not in self._refused_at
                 is_only = found.get(start.task, name) == name
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/lives.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/lives.py
@@ -32,10 +32,10 @@
     new = _make_state(cell, old, report.born, now)
     named = {(run.task, run.run) for run in report.running}
     named |= {(end.task, end.run) for end in report.ended}
-    there = [
+    carried_over = [
         a for a in old.list_held() if (a.task, a.run) in named or _was_started_after(a, asked_at)
     ]
-    for attempt in there:
+    for attempt in carried_over:
         _move(cell, attempt, old, new)
     cell.executors[new.id] = new
     cell.note_use()
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/owned.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/owned.py
@@ -313,13 +313,13 @@
         None if there is no such executor. Jobs accepted in this term are never affected. For the
         others the store lists the executors of each task.
         """
-        silent, unsure = self.silent(), self.list_unsure()
-        if not silent and not unsure:
+        silent, uncertain = self.silent(), self.list_unsure()
+        if not silent and not uncertain:
             return None
         may_hold_any = any(not s.is_named and s.only_tasks is None for s in silent)
         held = frozenset().union(*(state.only_tasks or () for state in silent))
         named = {state.id for state in silent if state.is_named}
-        doubtful: dict[str, int] = {}
+        uncertain_tasks: dict[str, int] = {}
 
         def may_run(task: TaskKey) -> bool:
             job = self.jobs.get(task.job)
@@ -327,9 +327,9 @@
                 return False
             if may_hold_any or task in held:
                 return True
-            if task.job not in doubtful:
-                doubtful[task.job] = job.places.find_uncertain(named, unsure)
-            return bool(job.mask_of(task) & doubtful[task.job])
+            if task.job not in uncertain_tasks:
+                uncertain_tasks[task.job] = job.places.find_uncertain(named, uncertain)
+            return bool(job.mask_of(task) & uncertain_tasks[task.job])
 
         return may_run
 
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/owner.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/owner.py
@@ -52,8 +52,7 @@
 LATE_STARTS_WRITE_INTERVAL_S = 1.5
 NAMES_WRITE_INTERVAL_S = 0.5
 ENTRY_BACK_S = 2.0 + 0.5
-"""The documented time in which an executor rewrites its entry, and the delay of the notification.
-"""
+"""The documented time in which an executor rewrites its entry, plus the notification delay."""
 DIRECTORY_GATHER_S = 0.25
 """How long directory updates are batched; shorter than the minimum drain time of 2 s."""
 
@@ -163,12 +162,12 @@
         async def fetch(prefix: str) -> None:
             found[prefix] = await self._list(prefix)
 
-        asks = self.parts.evacuations.prefixes
-        prefixes = (USED_KEY, directory.prefix, jobs.prefix, PROGRESS_PREFIX, *asks)
+        evacuation_prefixes = self.parts.evacuations.prefixes
+        prefixes = (USED_KEY, directory.prefix, jobs.prefix, PROGRESS_PREFIX, *evacuation_prefixes)
         async with trio.open_nursery() as nursery:
             for prefix in prefixes:
                 nursery.start_soon(fetch, prefix)
-        for prefix in asks:
+        for prefix in evacuation_prefixes:
             self.parts.evacuations.take_listing(found[prefix], (prefix,))
         if not self._used_executors.take(found[USED_KEY]):
             # The executors in use are unknown, so wait until every lease of an earlier owner has
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/places.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/places.py
@@ -98,15 +98,15 @@
         # The unresolved starts are listed one by one in this case.
         self.earlier = {} if self.lists_starts or named is None else named
 
-    def find_uncertain(self, silent: Collection[str], unsure: Collection[str]) -> int:
+    def find_uncertain(self, silent: Collection[str], uncertain: Collection[str]) -> int:
         """Return the tasks of which an earlier owner's run may be at an unresponsive executor.
 
-        Includes tasks with an unlisted start that may still be carried out at an `unsure` executor.
+        Includes tasks with an unlisted start that may yet be executed at an `uncertain` executor.
         """
         if self.inherited is None:
             return ANY
         begun = find_mask(self.inherited, silent)
-        return begun if self.lists_starts else begun | find_mask(self.earlier, unsure)
+        return begun if self.lists_starts else begun | find_mask(self.earlier, uncertain)
 
     def names_others(self, silent: Collection[str]) -> bool:
         """Return whether the store lists executors other than unresponsive, spare and late ones."""
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/spares.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/spares.py
@@ -51,21 +51,21 @@
 
     def choose(self, now: float) -> None:
         """Assign spares to waiting jobs without usable ones, and clear those of other jobs."""
-        sound = _Candidates(
+        candidates = _Candidates(
             [s for s in self.cell.executors.values() if s.find_refusal(now) in TEMPORARY_REFUSALS]
         )
-        chosen = 0
+        assigned = 0
         for job in self.cell.active.values():
             step, spare = _find_waiting(job, now), job.places.spare
             if step is None:
                 job.places.spare = frozenset()
-            elif chosen < MAX_JOBS_PER_SCAN and not (spare and spare <= sound.names):
-                job.places.spare = self._choose(job, step, sound)
-                chosen += bool(job.places.spare)
+            elif assigned < MAX_JOBS_PER_SCAN and not (spare and spare <= candidates.names):
+                job.places.spare = self._choose(job, step, candidates)
+                assigned += bool(job.places.spare)
             if job.places.spare != spare:
                 self.cell.recorder.mark(job)
 
-    def _choose(self, job: JobState, step: StepState, sound: _Candidates) -> frozenset[str]:
+    def _choose(self, job: JobState, step: StepState, candidates: _Candidates) -> frozenset[str]:
         """Return spares for a step: one rack for a gang, else a few executors.
 
         Each job ranks the executors in its own order, so that any executor that becomes free is a
@@ -74,9 +74,9 @@
         pool = self.cell.parts.desired().current_queue(job.spec).pool
         asked = (pool, step.spec.need, step.spec.label)
         if step.spec.gang and len(step.tasks) > 1:
-            racks = sound.list_racks(asked, len(step.tasks))
+            racks = candidates.list_racks(asked, len(step.tasks))
             return min(racks, key=lambda rack: _rank_for(job, min(rack)), default=frozenset())
-        names = sound.list_fitting(asked)
+        names = candidates.list_fitting(asked)
         most = min(MAX_SPARES, len(names) // POOL_DIVISOR)
         return frozenset(
             sorted(names, key=lambda name: _rank_for(job, name))[:most] if most else ()
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/watching.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/watching.py
@@ -84,7 +84,7 @@
             and state.listed
             and not any(map(_may_exist, state.list_held()))
             and state.seen == state.noted
-            and state.told_seen >= state.find_acknowledgeable(trio.current_time())
+            and state.acknowledged >= state.find_acknowledgeable(trio.current_time())
             and self._find_unprobed_entry() is None
             and not self.cell.may_receive_late_start(state)
             and not needs_look(state)
@@ -95,8 +95,8 @@
 
         Entries are compared by identity, so that a rewritten entry is probed again.
         """
-        said = self.state.announced or self.state.elsewhere
-        return None if said is self.state.asked else said
+        entry = self.state.announced or self.state.elsewhere
+        return None if entry is self.state.asked else entry
 
     def _can_be_dropped(self) -> bool:
         if self.state.listed or self.cell.late_starts.list_open(self.state.id):
@@ -104,14 +104,14 @@
         return trio.current_time() > self.state.lapse_by
 
     async def _renew_once(self) -> None:
-        state, said = self.state, self._find_unprobed_entry()
-        if said is not None and said.address != state.executor.address:
-            await self._probe_new_address(said)
+        state, entry = self.state, self._find_unprobed_entry()
+        if entry is not None and entry.address != state.executor.address:
+            await self._probe_new_address(entry)
             if self.state is not state:
                 return
         sent = trio.current_time()
         is_asked_for = needs_look(state)
-        order = self._make_hold_order(sent, said)
+        order = self._make_hold_order(sent, entry)
         self._hold_sent_at = sent
         if is_asked_for or 0 < self._failed_holds <= MAX_EAGER_PROBES:
             outcome, sent = await probe_repeatedly(self.cell, state)
@@ -120,7 +120,7 @@
         if isinstance(outcome, Report):
             await self._handle_report(outcome, order, sent)
             if state is self.state:
-                state.asked = said or state.asked
+                state.asked = entry or state.asked
             if self.state.ack_deferred_until:
                 await self._pause(sent + DEFERRED_ACK_PAUSE_S)
         elif isinstance(outcome, OtherLife):
@@ -131,7 +131,7 @@
         else:
             await self._handle_failed_hold(outcome)
 
-    def _make_hold_order(self, now: float, said: Executor | None) -> HoldOrder:
+    def _make_hold_order(self, now: float, entry: Executor | None) -> HoldOrder:
         state, token = self.state, self.cell.term.number
         if needs_look(state):
             return HoldOrder(token, 0, None, 0.0)
@@ -139,27 +139,27 @@
         # Without an entry, poll until its lease has expired; long polls keep the number of calls
         # low.
         is_kept = state.list_held() or not state.listed or self.cell.may_receive_late_start(state)
-        waits = (
+        may_wait = (
             state.heard and is_kept and state.seen == state.noted and not state.ack_deferred_until
         )
         # A new instance has no run to wait for, so do not long-poll after a failure.
-        waits = waits and said is None and not self._failed_holds
-        wait_s = self._choose_wait(now) if waits else 0.0
+        may_wait = may_wait and entry is None and not self._failed_holds
+        wait_s = self._choose_wait(now) if may_wait else 0.0
         return HoldOrder(token, self._choose_acknowledged_end(), until, wait_s)
 
-    async def _probe_new_address(self, said: Executor) -> None:
+    async def _probe_new_address(self, entry: Executor) -> None:
         """Probe the address that an entry names, accepting only the instance named there."""
         sent = trio.current_time()
         order = HoldOrder(self.cell.term.number, 0, None, 0.0)
-        outcome = await self.cell.parts.link.hold(said, order)
-        if not isinstance(outcome, Report) or outcome.born != said.born:
+        outcome = await self.cell.parts.link.hold(entry, order)
+        if not isinstance(outcome, Report) or outcome.born != entry.born:
             return
         state = self.state
         await self._handle_report(outcome, order, sent)
-        if state.elsewhere is said:
-            state.describe(said)
+        if state.elsewhere is entry:
+            state.describe(entry)
             state.evacuated = self.cell.is_evacuated(state)
-            log_event("executor.moved", **describe_life(state.life), address=said.address)
+            log_event("executor.moved", **describe_life(state.life), address=entry.address)
             self.cell.note_use()
             self.cell.wake_planner()
 
@@ -173,7 +173,7 @@
         has_reported = state.heard or state.clock is not None
         is_confirmed = has_reported and self._failed_holds == 0
         seen = state.find_acknowledgeable(trio.current_time())
-        return seen if is_confirmed and seen > state.told_seen else 0
+        return seen if is_confirmed and seen > state.acknowledged else 0
 
     async def _handle_report(self, report: Report, order: HoldOrder, sent: float) -> None:
         """Process a report, which may come from a new instance."""
@@ -183,7 +183,7 @@
             # Runs, end numbers and the clock belong to one instance, so none may be carried over.
             self.state = begin_life(self.cell, self.state, report, sent)
         else:
-            self.state.told_seen = max(self.state.told_seen, order.seen)
+            self.state.acknowledged = max(self.state.acknowledged, order.seen)
         state = self.state
         if not state.heard or state.silent_since is not None:
             self.cell.crashes.withdraw(state)
--- a/packages/heronthread-dispatch/tests/test_late_sent_again.py
+++ b/packages/heronthread-dispatch/tests/test_late_sent_again.py
@@ -1,8 +1,7 @@
-"""A start that is sent again where the store already names an earlier one of its task.
+"""A start that is sent again to an executor that the store lists for an earlier start of its task.
 
-The store names a start by its executor and task, not by its run. So a second run of the task at the
-same executor is taken as named, and goes out without another write: what the store says of how long
-it may be late is what was left of the first one's time.
+The store lists starts without run numbers. The recorded time for which the earlier start may be
+late must not be taken as that of the new one.
 """
 
 import trio
@@ -14,8 +13,8 @@
 Clock = trio.testing.MockClock
 TASK = TaskKey("a", 0, 0)
 MAX_ORDER_DELAY_S = 12.0
-STORY_S = 13.0
-"""After so long an owner writes nothing any more on account of earlier owners."""
+WRITES_SETTLED_S = 13.0
+"""After so long an owner writes nothing any more because of earlier owners."""
 
 
 def _read(site: EmulatedSite) -> ProgressRecord:
@@ -23,12 +22,12 @@
 
 
 async def _send_again(site: EmulatedSite, fails_s: float, late_s: float) -> float:
-    """Have a run fail at e0 while a send of its start is open, and the next one's start be lost.
+    """Let a run fail at e0 while a send of its start is unresolved, and lose the next run's start.
 
     Return when that was sent.
     """
     owner = await site.wait_for_owner()
-    await trio.sleep(STORY_S)
+    await trio.sleep(WRITES_SETTLED_S)
     place = site.executors.by_id["e0"]
     place.lose_starts, place.late_s = 1, 3.0
     host = site.hosts[next(name for name in site.hosts if name != owner)]
@@ -44,7 +43,7 @@
     return trio.current_time()
 
 
-async def test_store_tells_that_a_start_which_is_sent_again_may_be_late(
+async def test_store_has_the_full_delay_of_a_start_that_is_sent_again(
     autojump_clock: Clock,
 ) -> None:
     async with EmulatedSite.open(hosts=3, executors=1) as site:
@@ -68,10 +67,10 @@
         assert check_promises(site.executors, {}) == []
 
 
-async def test_start_where_an_earlier_owners_is_open_is_told_to_the_store_as_a_new_one(
+async def test_start_is_recorded_as_new_where_an_earlier_owners_is_unresolved(
     autojump_clock: Clock,
 ) -> None:
-    """The first start of a second owner goes where the first owner's had no answer."""
+    """The second owner's first start goes where the first owner's start had no answer."""
     async with EmulatedSite.open(hosts=4, executors=1) as site:
         owner = await site.wait_for_owner()
         await trio.sleep(1.0)
--- a/packages/heronthread-dispatch/tests/test_late_starts.py
+++ b/packages/heronthread-dispatch/tests/test_late_starts.py
@@ -1,4 +1,4 @@
-"""Starts without an answer are remembered for as long as they may be carried out, and no longer."""
+"""Unanswered starts are tracked for as long as they may be carried out, and no longer."""
 
 from dataclasses import replace
 
@@ -22,7 +22,7 @@
     return Attempt(TaskKey("a", 0, 0), run, Life("e0", 7), NOTHING, now, sent_at=now)
 
 
-async def test_a_start_is_open_until_no_order_can_be_late_any_more(autojump_clock: Clock) -> None:
+async def test_a_start_is_unresolved_until_its_maximum_delay_is_over(autojump_clock: Clock) -> None:
     starts = LateStarts()
     first = _make_attempt(1)
     starts.note(first)
@@ -36,8 +36,8 @@
     assert starts.is_open(second)
 
 
-async def test_starts_that_are_over_are_forgotten(autojump_clock: Clock) -> None:
-    """Half of all orders go unanswered on some days, and an owner may last for weeks."""
+async def test_expired_starts_are_forgotten(autojump_clock: Clock) -> None:
+    """Many orders may go unanswered, and an owner may last for weeks."""
     starts = LateStarts()
     for run in range(100):
         starts.note(_make_attempt(run))
@@ -52,7 +52,7 @@
     return state
 
 
-async def test_a_task_with_an_open_start_may_go_only_where_that_is_refused(
+async def test_a_task_with_an_unresolved_start_is_pinned_to_the_executor_that_refuses_it(
     autojump_clock: Clock,
 ) -> None:
     starts, first = LateStarts(), _make_attempt(1)
@@ -74,7 +74,7 @@
     assert starts.find_pins(states) == {}
 
 
-async def test_starts_that_are_open_at_two_executors_let_a_task_go_nowhere(
+async def test_unresolved_starts_at_two_executors_withhold_a_task(
     autojump_clock: Clock,
 ) -> None:
     starts, first = LateStarts(), _make_attempt(1)
@@ -86,7 +86,7 @@
     assert starts.find_pins(states) == {first.task: NOWHERE}
 
 
-async def test_an_executor_that_takes_nothing_more_pins_no_task(autojump_clock: Clock) -> None:
+async def test_an_evacuated_executor_pins_no_task(autojump_clock: Clock) -> None:
     starts, first = LateStarts(), _make_attempt(1)
     states = {"e0": _make_state("e0", 7)}
     starts.note(first)
@@ -96,7 +96,7 @@
     assert starts.find_pins(states) == {}
 
 
-async def test_a_send_that_is_answered_leaves_the_ones_before_it_open(
+async def test_an_answered_send_leaves_earlier_sends_unresolved(
     autojump_clock: Clock,
 ) -> None:
     starts, first = LateStarts(), _make_attempt(1)
@@ -112,7 +112,9 @@
     assert not starts.is_open(first)
 
 
-async def test_no_other_life_is_feared_where_none_says_its_start(autojump_clock: Clock) -> None:
+async def test_starts_at_executors_without_a_start_time_are_not_tracked(
+    autojump_clock: Clock,
+) -> None:
     starts = LateStarts()
     starts.note(replace(_make_attempt(1), life=Life("e0", 0)))
     assert starts.list_open("e0") == []
--- a/packages/heronthread-dispatch/tests/test_orders.py
+++ b/packages/heronthread-dispatch/tests/test_orders.py
@@ -1,15 +1,7 @@
-"""What becomes of orders that get no answer, or several.
-
-The incident behind the first test: tasks ran twice at once, thirteen times on two sites.
-
-- Sequence: two sends of a start got no answer; a third was turned away by its executor, which
-  was unhealthy; the next report did not name the run; the task was started on a second executor;
-  1.7 s later the first executor carried out the second send after all.
-- Cause: the refusal of one send was taken as settling the others, and a report that does not name
-  a run as proof that it never will. A call without an answer may be done seconds later; only an
-  end that is listed, an answered stop, or the end of the holding time rules that out.
-- Settled by: `start.refused` with `may_have_run` true, then `attempt.closed` with why "not there"
-  0.07 s later, `start.decided` of the next run, and `run.stale` of the first one 2.4 s after that.
+"""Orders that get no answer, or contradictory ones.
+
+A refused send or a report without the run does not settle the other sends of a start: one without
+an answer may be carried out seconds later, beside the task's next run.
 """
 
 from dataclasses import replace
@@ -31,10 +23,7 @@
 
 
 async def _start_with_late_sends(site: EmulatedSite, *, sends: int, shed: int) -> None:
-    """Hand a job in at whose first executor `sends` starts are 5.2 s late and `shed` turned away.
-
-    After those, the starts and stops that come to it are turned away until `shed` is used up.
-    """
+    """Submit a job whose executor delays `sends` starts by 5.2 s, then refuses `shed` orders."""
     await site.wait_for_owner()
     places = list(site.executors.by_id.values())
     for place in places:
@@ -57,7 +46,7 @@
 async def test_start_carried_out_after_a_refusal_that_comes_during_its_stop(
     autojump_clock: Clock,
 ) -> None:
-    """The job is cancelled while sends are open; the refusal must not end the stop."""
+    """The job is cancelled while sends are unresolved; the refusal must not end the stop."""
     async with EmulatedSite.open(hosts=1, executors=2) as site:
         for place in site.executors.by_id.values():
             place.shed_s = 0.5
@@ -68,8 +57,8 @@
         assert [event.what for event in site.executors.events if event.task == TASK] == []
 
 
-async def test_run_that_nobody_wants_is_stopped(autojump_clock: Clock) -> None:
-    """A run that stands beside the task's own is stopped as soon as a report names it."""
+async def test_orphaned_run_is_stopped(autojump_clock: Clock) -> None:
+    """An orphaned run beside the task's own is stopped as soon as a report lists it."""
     async with EmulatedSite.open(hosts=1, executors=2) as site:
         await site.wait_for_owner()
         await site.hosts["h0"].requests.accept(site.make_job("a", work_s=20.0), 2.0)
@@ -85,10 +74,10 @@
         assert [(end.what, end.executor) for end in ends] == [("stopped", other)]
 
 
-async def test_start_that_reached_no_executor_is_given_at_another_at_once(
+async def test_unsent_start_is_retried_at_another_executor_at_once(
     autojump_clock: Clock,
 ) -> None:
-    """Nothing was sent, so nothing is open: no holding time has to run out first."""
+    """Nothing was sent, so no lease has to expire first."""
     async with EmulatedSite.open(hosts=1, executors=2) as site:
         await site.wait_for_owner()
         for place in site.executors.by_id.values():
@@ -104,10 +93,10 @@
         assert check_promises(site.executors, {}) == []
 
 
-async def test_start_whose_first_send_is_refused_is_given_again_at_once(
+async def test_start_whose_first_send_is_refused_is_retried_soon(
     autojump_clock: Clock,
 ) -> None:
-    """Both executors turn one start away and rest for 0.7 s; neither was left in doubt."""
+    """Both executors refuse one start and back off for 0.7 s; no send is unresolved."""
     async with EmulatedSite.open(hosts=1, executors=2) as site:
         await site.wait_for_owner()
         for place in site.executors.by_id.values():
@@ -117,8 +106,8 @@
         assert len(site.executors.starts(TASK)) == 1
 
 
-async def test_run_of_a_job_that_is_not_known_is_stopped(autojump_clock: Clock) -> None:
-    """An executor that is held would keep it at work for as long as anything else runs there."""
+async def test_run_of_an_unknown_job_is_stopped(autojump_clock: Clock) -> None:
+    """Otherwise it would run for as long as the executor's lease is renewed for other work."""
     gone = TaskKey("gone", 0, 0)
     async with EmulatedSite.open(hosts=1, executors=1) as site:
         await site.wait_for_owner()
@@ -135,8 +124,8 @@
         assert state.free.accelerators == 7
 
 
-async def test_report_that_may_be_cut_short_closes_nothing(autojump_clock: Clock) -> None:
-    """A run that is in neither list may be among the ends that did not fit."""
+async def test_incomplete_report_closes_no_attempt(autojump_clock: Clock) -> None:
+    """A run in neither list may be among the ends that did not fit into the report."""
     async with EmulatedSite.open(hosts=1, executors=1) as site:
         await site.wait_for_owner()
         await site.hosts["h0"].requests.accept(site.make_job("a", work_s=3.0), 2.0)
@@ -150,10 +139,10 @@
         assert len(site.executors.starts(TASK)) == 1
 
 
-async def test_executor_that_turns_every_stop_away_keeps_its_task_for_a_holding_time(
+async def test_executor_that_refuses_every_stop_keeps_its_task_until_its_lease_expires(
     autojump_clock: Clock,
 ) -> None:
-    """One send is open, all later calls but holds are turned away: nothing settles it sooner."""
+    """One send is unresolved, and the executor refuses everything but holds."""
     async with EmulatedSite.open(hosts=1, executors=2) as site:
         await _start_with_late_sends(site, sends=1, shed=10_000)
         await trio.sleep(9.5)
@@ -162,10 +151,10 @@
 
 
 @pytest.mark.parametrize("phase_s", [0.0, 0.2, 0.4, 0.6, 0.8])
-async def test_task_whose_stop_was_obeyed_is_free_at_once(
+async def test_task_whose_stop_was_acknowledged_is_free_at_once(
     autojump_clock: Clock, monkeypatch: pytest.MonkeyPatch, phase_s: float
 ) -> None:
-    """Its starts had no answer. A hold that waits for an end, and a second one, held it for 2 s."""
+    """Its starts had no answer, and a long poll in flight must not delay the confirmation."""
     async with EmulatedSite.open(hosts=1, executors=2) as site:
         await site.wait_for_owner()
         await site.hosts["h0"].requests.accept(site.make_job("b", count=16, work_s=30.0), 2.0)
@@ -198,14 +187,12 @@
         assert await _status(site, "a") is JobStatus.SUCCEEDED
 
 
-async def test_attempt_that_no_send_has_reached_is_over_as_its_gang_is_stopped(
+async def test_unsent_attempt_is_closed_when_its_gang_is_stopped(
     autojump_clock: Clock,
 ) -> None:
-    """Its executor takes no connection, a mate is turned away, and there is room for both beside.
+    """An attempt whose executor took no connection needs no acknowledged stop.
 
-    In a soak (seed 30) a gang stood for 3.4 s: `order.sent` said "not sent" for all three sends of
-    a member's start, whose executor had just ended, and then for twelve stops of it, as a mate had
-    been given up meanwhile. What never reached anybody needs no stop.
+    Otherwise the gang waits for that executor, although there is room elsewhere.
     """
     async with EmulatedSite.open(hosts=1, executors=4) as site:
         await site.wait_for_owner()
--- a/packages/heronthread-dispatch/tests/test_owner.py
+++ b/packages/heronthread-dispatch/tests/test_owner.py
@@ -1,4 +1,4 @@
-"""What an owner keeps through kills, cuts, outages and late orders."""
+"""Ownership through kills, partitions, store outages and late orders."""
 
 import pytest
 import trio
@@ -46,7 +46,7 @@
         assert trio.current_time() - began < 1.0
 
 
-async def test_restarted_owner_takes_its_own_cell_back_at_once(autojump_clock: Clock) -> None:
+async def test_restarted_owner_regains_its_cell_at_once(autojump_clock: Clock) -> None:
     async with EmulatedSite.open(hosts=3) as site:
         owner = await site.wait_for_owner()
         await site.hosts[owner].requests.accept(site.make_job("a", work_s=1.0), 2.0)
@@ -60,18 +60,18 @@
         _check(site)
 
 
-async def test_owner_key_won_by_a_repeated_write_is_not_kept_idle(autojump_clock: Clock) -> None:
-    """The first of two equal writes takes the cell, and only the second one is answered."""
+async def test_owner_key_acquired_by_an_unanswered_write_is_used(autojump_clock: Clock) -> None:
+    """The first of two equal writes acquires the cell, and only the second one is answered."""
     async with EmulatedSite.open(hosts=2) as site:
         for view in site.views.values():
             view.repeat = 3
         await site.wait_for_owner(limit_s=5.0)
 
 
-async def test_planned_stop_beside_a_slow_store_costs_few_of_its_answers(
+async def test_planned_stop_needs_few_calls_to_a_slow_store(
     autojump_clock: Clock,
 ) -> None:
-    """With 0.25 s a call: the lease ended, the term read, the key taken, one round of readings."""
+    """At 0.25 s a call: end the lease, read the term, acquire the key, read the state."""
     async with EmulatedSite.open(hosts=3) as site:
         owner = await site.wait_for_owner()
         other = next(host for name, host in site.hosts.items() if name != owner)
@@ -87,7 +87,7 @@
         _check(site)
 
 
-async def test_new_owner_starts_nothing_that_may_run_at_a_silent_executor(
+async def test_new_owner_starts_nothing_that_may_run_at_an_unresponsive_executor(
     autojump_clock: Clock,
 ) -> None:
     async with EmulatedSite.open(hosts=2) as site:
@@ -105,10 +105,10 @@
         assert await _status(site, "a") is JobStatus.SUCCEEDED
 
 
-async def test_executor_whose_entry_is_not_back_with_the_store_is_taken_as_gone(
+async def test_executor_whose_entry_does_not_return_with_the_store_is_dropped(
     autojump_clock: Clock,
 ) -> None:
-    """All hosts and the store go; the executor with the job crashes meanwhile, and is not back."""
+    """All hosts and the store fail; the executor that runs the job crashes and does not return."""
     async with EmulatedSite.open(hosts=2) as site:
         await site.wait_for_owner()
         await site.hosts["h0"].requests.accept(site.make_job("a", work_s=1.0), 2.0)
@@ -124,13 +124,13 @@
         site.store.is_down = site.store.lapses = False
         await site.wait_for_owner()
         await trio.sleep(2.0)
-        assert len(site.executors.starts()) == 1, "the entry may still come back"
+        assert len(site.executors.starts()) == 1, "the entry may still return"
         await trio.sleep(2.0)
         assert len(site.executors.starts()) == 2
         _check(site)
 
 
-async def test_silent_executor_that_is_listed_is_not_taken_as_gone(
+async def test_unresponsive_executor_with_an_entry_is_not_dropped(
     autojump_clock: Clock,
 ) -> None:
     async with EmulatedSite.open(hosts=1) as site:
@@ -145,10 +145,10 @@
         _check(site)
 
 
-async def test_executor_without_its_entry_gets_nothing_new_until_it_is_back(
+async def test_executor_without_an_entry_gets_no_new_work(
     autojump_clock: Clock,
 ) -> None:
-    """Entries go in the store's absence: what runs goes on, and new work waits for the entry."""
+    """Entries expire in a store outage: runs continue, and new work waits for the entry."""
     async with EmulatedSite.open(hosts=1, executors=2) as site:
         host = site.hosts[await site.wait_for_owner()]
         await host.requests.accept(site.make_job("a", count=16, work_s=9.0), 2.0)
@@ -170,7 +170,7 @@
         assert {s.executor for s in site.executors.starts() if s.task.job == "c"} == {"e0", "e1"}
 
 
-async def test_job_taken_in_after_a_takeover_does_not_wait_for_silent_executors(
+async def test_job_accepted_after_a_takeover_does_not_wait_for_unresponsive_executors(
     autojump_clock: Clock,
 ) -> None:
     async with EmulatedSite.open(hosts=2) as site:
@@ -184,8 +184,10 @@
         assert len(site.executors.starts()) == 1
 
 
-async def test_executor_that_left_holds_up_only_the_tasks_it_had(autojump_clock: Clock) -> None:
-    """The first owner drains e0 and dies; e0 goes silent with one task of two jobs."""
+async def test_drained_executor_that_becomes_unresponsive_withholds_only_its_own_tasks(
+    autojump_clock: Clock,
+) -> None:
+    """The first owner drains an executor and dies; that executor becomes unresponsive."""
     async with EmulatedSite.open(hosts=2, executors=2) as site:
         owner = await site.wait_for_owner()
         other = next(host for name, host in site.hosts.items() if name != owner)
@@ -224,7 +226,7 @@
         _check(site)
 
 
-async def test_nothing_is_taken_in_while_the_store_is_down(autojump_clock: Clock) -> None:
+async def test_no_job_is_accepted_while_the_store_is_down(autojump_clock: Clock) -> None:
     async with EmulatedSite.open(hosts=3) as site:
         await site.wait_for_owner()
         site.store.is_down = True
@@ -238,7 +240,7 @@
         _check(site, {"a": Told(record, refused=True)})
 
 
-async def test_host_without_the_store_takes_jobs_in_through_a_peer(autojump_clock: Clock) -> None:
+async def test_host_without_the_store_accepts_jobs_through_a_peer(autojump_clock: Clock) -> None:
     async with EmulatedSite.open(hosts=3) as site:
         owner = await site.wait_for_owner()
         name = next(name for name in site.hosts if name != owner)
@@ -265,7 +267,7 @@
         _check(site)
 
 
-async def test_lost_answer_of_an_acceptance_is_not_called_a_refusal(
+async def test_lost_answer_to_an_acceptance_is_not_reported_as_a_refusal(
     autojump_clock: Clock,
 ) -> None:
     async with EmulatedSite.open(hosts=2) as site:
@@ -308,7 +310,7 @@
         assert len(site.executors.starts()) == 3
 
 
-async def test_everything_is_rebuilt_after_all_hosts_died(autojump_clock: Clock) -> None:
+async def test_state_is_restored_after_all_hosts_died(autojump_clock: Clock) -> None:
     async with EmulatedSite.open(hosts=3) as site:
         await site.wait_for_owner()
         await site.hosts["h0"].requests.accept(site.make_job("a", count=3, work_s=2.0), 2.0)
@@ -322,7 +324,7 @@
         _check(site)
 
 
-async def test_what_is_left_of_a_gang_is_stopped_and_the_gang_starts_whole(
+async def test_remaining_gang_members_are_stopped_and_the_gang_restarts_whole(
     autojump_clock: Clock,
 ) -> None:
     async with EmulatedSite.open(hosts=2, executors=4) as site:
@@ -337,7 +339,7 @@
         _check(site)
 
 
-async def test_guaranteed_urgent_job_takes_its_accelerators_back(autojump_clock: Clock) -> None:
+async def test_guaranteed_urgent_job_preempts_other_work(autojump_clock: Clock) -> None:
     async with EmulatedSite.open(hosts=2, executors=2) as site:
         await site.wait_for_owner()
         host = site.hosts["h0"]
@@ -351,10 +353,10 @@
         assert len([s for s in site.executors.starts() if s.task.job == "urgent"]) == 2
 
 
-async def test_guarantee_is_taken_from_ordinary_work_before_urgent_work(
+async def test_guarantee_preempts_ordinary_work_before_urgent_work(
     autojump_clock: Clock,
 ) -> None:
-    """The urgent job beyond its guarantee began last, so it would lose least."""
+    """The urgent job above its guarantee began last, so stopping it would lose least work."""
     async with EmulatedSite.open(hosts=2, executors=4) as site:
         await site.wait_for_owner()
         host = site.hosts["h0"]
@@ -396,7 +398,7 @@
         assert await _status(site, "a") is JobStatus.SUCCEEDED
 
 
-async def test_attempts_are_not_burnt_on_an_executor_that_fails_all(
+async def test_attempts_are_not_spent_on_an_executor_that_fails_everything(
     autojump_clock: Clock,
 ) -> None:
     async with EmulatedSite.open(hosts=2, executors=3) as site:
@@ -422,7 +424,7 @@
         _check(site, {"a": Told(record, taken=True, shown=JobStatus.FAILED)})
 
 
-async def test_executor_that_stands_still_loses_its_work(autojump_clock: Clock) -> None:
+async def test_executor_without_progress_loses_its_work(autojump_clock: Clock) -> None:
     async with EmulatedSite.open(hosts=2, executors=2) as site:
         await site.wait_for_owner()
         await site.hosts["h0"].requests.accept(site.make_job("a", work_s=2.0), 2.0)
@@ -472,7 +474,7 @@
 
 @pytest.mark.parametrize("seed", range(8))
 def test_promises_hold_under_seeded_faults(seed: int) -> None:
-    """Seed 4 breaks one promise, which has a test of its own (`test_standing.py`)."""
+    """Seed 4 violates one promise, which has a test of its own (`test_standing.py`)."""
     from heronthread_emulator import run_soak
     from heronthread_emulator.standing import PROMISE
 
@@ -483,7 +485,7 @@
 async def test_short_run_whose_answers_are_lost_is_not_started_again(
     autojump_clock: Clock,
 ) -> None:
-    """Its start and the first look go unanswered, and it is over before the start is repeated."""
+    """The start and the first probe have no answer, and the run ends before the next send."""
     async with EmulatedSite.open(hosts=1, executors=2) as site:
         owner = await site.wait_for_owner()
         await trio.sleep(1.0)
@@ -496,11 +498,10 @@
         _check(site)
 
 
-async def test_executor_whose_entry_lapsed_beside_a_sound_store_may_run_on(
+async def test_executor_whose_entry_expired_without_a_store_outage_may_still_run_work(
     autojump_clock: Clock,
 ) -> None:
-    """Cut off from everything it works on until its holding time is over; only an entry that is
-    not back after the store's own absence says that it is gone."""
+    """Without a store outage, an expired entry does not prove that an executor is gone."""
     async with EmulatedSite.open(hosts=2) as site:
         owner = await site.wait_for_owner()
         other = next(host for name, host in site.hosts.items() if name != owner)
--- a/packages/heronthread-dispatch/tests/test_places.py
+++ b/packages/heronthread-dispatch/tests/test_places.py
@@ -1,4 +1,4 @@
-"""Every start goes to an executor that the store names for its task by then."""
+"""Every start goes to an executor that the store lists for its task beforehand."""
 
 import json
 from collections.abc import Iterator
@@ -52,14 +52,14 @@
 
 
 def _find_number(job: JobRecord, task: TaskKey) -> int:
-    """Return a task's number over all steps and times of its job."""
+    """Return a task's number over all steps and occurrences of its job."""
     counts = [step.count for step in job.spec.steps]
     return task.occurrence * sum(counts) + sum(counts[: task.step]) + task.member
 
 
 @pytest.fixture
 def unnamed() -> Iterator[list[str]]:
-    """Collect the starts that the newest owner sends to executors no record names."""
+    """Collect the starts that the newest owner sends to executors that no record lists."""
     found: list[str] = []
     sites: dict[EmulatedExecutors, EmulatedSite] = {}
     init, start = EmulatedSite.__init__, EmulatedExecutors.start
@@ -78,7 +78,7 @@
         job = JobRecord.decode(items[job_key(order.task.job)].value)
         is_named = named.get(executor.id, 0) >> _find_number(job, order.task) & 1
         if not is_named and int(items["term/0"].value) == order.token:
-            found.append(f"{order.task} run {order.run} at {executor.id}, named are {named}")
+            found.append(f"{order.task} run {order.run} at {executor.id}, recorded: {named}")
         return await start(self, executor, order)
 
     with (
@@ -89,14 +89,14 @@
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_no_start_goes_where_no_record_names_it(seed: int, unnamed: list[str]) -> None:
+def test_no_start_is_sent_to_an_unrecorded_executor(seed: int, unnamed: list[str]) -> None:
     result = run_soak(seed, STORE_FAULTS)
     assert result.starts > 0
     assert unnamed == []
     assert result.violations == []
 
 
-def test_starts_that_nobody_names_would_show(unnamed: list[str]) -> None:
+def test_unrecorded_starts_are_detected(unnamed: list[str]) -> None:
     async def name_nothing(self: Orders, orders: object) -> bool:
         return True
 
@@ -105,12 +105,12 @@
     assert unnamed
 
 
-def test_a_write_under_way_counts_only_for_what_stands_in_both() -> None:
+def test_a_write_in_flight_counts_only_for_what_both_records_have() -> None:
     places = JobPlaces()
     a, b = {"a": ANY}, {"b": ANY}
     assert not places.covers(a)
     places.begin_write(name_all("ab"))
-    assert not places.covers(a), "it may not be done yet"
+    assert not places.covers(a), "the write may not be applied yet"
     places.end_write(name_all("ab"))
     places.begin_write(name_all("bc"))
     places.begin_write(name_all("bd"))
@@ -120,7 +120,7 @@
     assert places.list_covered() == b
 
 
-def test_an_executor_that_is_named_for_some_tasks_is_named_for_no_others() -> None:
+def test_an_executor_is_recorded_only_for_the_tasks_of_its_mask() -> None:
     places = JobPlaces()
     places.begin_write({"a": 0b0111})
     places.end_write({"a": 0b0111})
@@ -129,11 +129,11 @@
     assert not places.covers({"a": ANY})
     places.begin_write({"a": 0b1110})
     assert places.covers({"a": 0b0110})
-    assert not places.covers({"a": 0b0001}), "the write may be done by now"
-    assert not places.covers({"a": 0b1000}), "it may not be done yet"
+    assert not places.covers({"a": 0b0001}), "the write may be applied by now"
+    assert not places.covers({"a": 0b1000}), "the write may not be applied yet"
 
 
-def test_a_record_that_names_none_may_mean_any() -> None:
+def test_a_record_without_placements_may_mean_any() -> None:
     places = JobPlaces()
     places.restore(None)
     assert places.find_uncertain({"a"}, ()) == ANY
@@ -142,7 +142,7 @@
     assert places.list_for_store(name_all("b")) == {"b": ANY}
 
 
-def test_what_is_in_doubt_stays_named_until_it_is_known() -> None:
+def test_uncertain_placements_stay_recorded_until_they_are_resolved() -> None:
     places = JobPlaces()
     places.restore({"a": 0b01, "b": 0b10})
     places.drop_resolved({"a", "z"})
@@ -160,8 +160,8 @@
     assert places.find_uncertain((), {"b"}) == 0
 
 
-def test_places_of_an_earlier_owner_that_lists_its_starts_are_handed_on_only_in_doubt() -> None:
-    """Each was named for 12 s of a term: the next owner withheld what had ended there long ago."""
+def test_inherited_placements_are_passed_on_only_while_uncertain() -> None:
+    """Otherwise the next owner withholds tasks at executors where their runs ended long ago."""
     for starts, handed_on in ((frozenset(), {}), (None, {"a": 0b01})):
         places = JobPlaces()
         places.restore({"a": 0b01}, starts)
@@ -171,8 +171,8 @@
         assert places.list_for_store({}) == handed_on
 
 
-def test_what_a_write_without_an_answer_names_no_more_is_named_once_more() -> None:
-    """Else a run that ends as the store goes would take its task's place away."""
+def test_placements_missing_in_an_unanswered_write_are_recorded_once_more() -> None:
+    """Otherwise a run that ends when the store fails would lose its task's executor."""
     places = JobPlaces()
     places.add_left("a", 0b01)
     names = places.list_for_store({"b": 0b10})
@@ -183,8 +183,8 @@
     assert places.list_for_store({}) == {"a": 0b10}
 
 
-def test_earlier_versions_read_the_executors_and_pass_over_the_tasks() -> None:
-    """A record of an earlier version names executors alone: any task may be there."""
+def test_earlier_versions_read_the_executors_and_ignore_the_tasks() -> None:
+    """A record of an earlier version lists executors without tasks: any task may be there."""
     names = {"a": 0b1100, "b": 1 << 200, "c": ANY}
     data = ProgressRecord(JobStatus.RUNNING, [], names).encode()
     value = json.loads(data)
@@ -206,13 +206,13 @@
         {"a": [9**9, "1"]},
     ],
 )
-def test_tasks_that_are_not_as_agreed_are_unreadable(masks: object) -> None:
+def test_malformed_task_masks_are_unreadable(masks: object) -> None:
     value = {"status": "running", "steps": [], "places": ["a"], "place_tasks": masks}
     found = decode_progress(json.dumps(value).encode())
     assert isinstance(found, Unreadable)
 
 
-def test_a_record_that_names_a_task_that_the_job_has_not_is_of_another_job() -> None:
+def test_a_record_with_an_unknown_task_is_of_another_job() -> None:
     spec = replace(JOB, steps=(replace(JOB.steps[0], count=3),))
     job = make_job(spec, 0.0)
     steps = [StepProgress()]
@@ -226,8 +226,8 @@
     return dict(job.to_record().places or {})
 
 
-def test_tasks_that_wait_are_shared_out_among_spares() -> None:
-    """One silent spare then withholds a part of them, and each has a place in an outage."""
+def test_waiting_tasks_are_distributed_over_spares() -> None:
+    """An unresponsive spare withholds a part of the tasks, and each task can start in an outage."""
     job = make_job(replace(JOB, steps=(replace(JOB.steps[0], count=12),)), 0.0)
     two = _list_names(job, spare=frozenset("ab"))
     assert two == {"a": 0b010101010101, "b": 0b101010101010}
@@ -236,34 +236,34 @@
     assert [mask.bit_count() for mask in six.values()] == [3] * 6
 
 
-def test_a_task_alone_and_a_gang_are_named_at_each_spare() -> None:
+def test_a_single_task_and_a_gang_are_recorded_at_each_spare() -> None:
     for step in (JOB.steps[0], replace(JOB.steps[0], count=4, gang=True)):
         job = make_job(replace(JOB, steps=(step,)), 0.0)
         assert _list_names(job, spare=frozenset("ab")) == dict.fromkeys("ab", (1 << step.count) - 1)
 
 
-def test_a_task_that_waits_is_not_named_where_others_of_its_job_are() -> None:
-    """A batch of five of which one ran stood whole once that executor was silent."""
+def test_a_waiting_task_is_not_recorded_at_the_executors_of_its_job() -> None:
+    """Otherwise an unresponsive executor with one running task withholds the whole batch."""
     job = make_job(replace(JOB, steps=(replace(JOB.steps[0], count=5),)), 0.0)
     assert _list_names(job, left={"a": 0b10000}) == {"a": 0b10000}
 
 
-def test_times_that_are_not_due_are_named_nowhere() -> None:
-    """A silent executor of the first time would else withhold all later ones."""
+def test_occurrences_that_are_not_due_are_not_recorded() -> None:
+    """Otherwise an unresponsive executor of the first occurrence withholds all later ones."""
     job = make_job(replace(JOB, schedule=Schedule(2, 100.0, 1.0)), 0.0)
     job.steps[0].ready_at = 0.0
     assert _list_names(job, spare=frozenset("a"), left={"b": 0b1}) == {"a": 0b1, "b": 0b1}
 
 
-def test_later_steps_are_named_wherever_the_job_is() -> None:
-    """They may begin there while the store is away, and nowhere before those they wait for."""
+def test_later_steps_are_recorded_at_all_executors_of_the_job() -> None:
+    """They may begin there during a store outage, and nowhere before the steps they depend on."""
     first = replace(JOB.steps[0], count=2)
     job = make_job(replace(JOB, steps=(first, replace(first, after=(0,)))), 0.0)
     job.steps[0].tasks[0].last_run = 1
     assert _list_names(job, left={"a": 0b01, "b": 0b10}) == {"a": 0b1101, "b": 0b1110}
 
 
-async def test_a_waiting_job_starts_where_it_is_named_while_the_store_is_away(
+async def test_a_waiting_job_starts_at_a_spare_during_a_store_outage(
     autojump_clock: Clock,
 ) -> None:
     async with EmulatedSite.open(hosts=2, executors=12) as site:
@@ -277,10 +277,10 @@
         site.store.is_down = False
 
 
-async def test_the_next_owner_withholds_a_job_from_its_own_silent_executor_alone(
+async def test_the_next_owner_withholds_only_the_job_at_the_unresponsive_executor(
     autojump_clock: Clock,
 ) -> None:
-    """Two jobs of one task each ran apart; the executor of one of them is cut off."""
+    """Two jobs of one task each run apart; the executor of one of them is partitioned."""
     async with EmulatedSite.open(hosts=3, executors=2) as site:
         owner = await site.wait_for_owner()
         other = next(host for name, host in site.hosts.items() if name != owner)
@@ -298,8 +298,8 @@
         assert [start.task.job for start in site.executors.starts()][2:] == ["b"]
 
 
-async def test_a_job_starts_once_lost_answers_of_the_store_are_over(autojump_clock: Clock) -> None:
-    """Each write is sent once more while it has no answer, so that a lost one costs 0.05 s."""
+async def test_a_job_starts_after_a_lost_answer_of_the_store(autojump_clock: Clock) -> None:
+    """An unanswered write is sent again, so that a lost answer costs 0.05 s."""
     async with EmulatedSite.open(hosts=1) as site:
         host = site.hosts[await site.wait_for_owner()]
         await host.requests.accept(site.make_job("a"), 2.0)
@@ -309,8 +309,8 @@
         assert len(site.executors.starts()) == 1
 
 
-async def test_the_next_step_of_a_job_starts_while_the_store_is_away(autojump_clock: Clock) -> None:
-    """The write as its first step ended named nothing, came to nothing, and left it no place."""
+async def test_the_next_step_of_a_job_starts_during_a_store_outage(autojump_clock: Clock) -> None:
+    """The failed write at the end of the first step must not remove the job's executor."""
     async with EmulatedSite.open(hosts=2) as site:
         host = site.hosts[await site.wait_for_owner()]
         record = site.make_job("two", work_s=2.0)
@@ -326,10 +326,10 @@
         assert check_promises(site.executors, {}) == []
 
 
-async def test_a_task_starts_nowhere_that_is_named_for_another_while_the_store_is_away(
+async def test_a_task_does_not_start_at_an_executor_of_another_task_during_a_store_outage(
     autojump_clock: Clock,
 ) -> None:
-    """Two tasks run apart; one fails and the other is done, so that its executor has room."""
+    """Two tasks run apart; one fails and the other succeeds, so that its executor has room."""
     async with EmulatedSite.open(hosts=2, executors=2) as site:
         host = site.hosts[await site.wait_for_owner()]
         await host.requests.accept(site.make_job("a", count=2, accelerators=8, work_s=2.0), 2.0)
@@ -348,7 +348,7 @@
         assert check_promises(site.executors, {}) == []
 
 
-async def test_runs_beside_their_tasks_attempts_are_named(autojump_clock: Clock) -> None:
+async def test_orphaned_runs_are_recorded(autojump_clock: Clock) -> None:
     async with EmulatedSite.open(hosts=1, executors=2) as site:
         host = site.hosts[await site.wait_for_owner()]
         await host.requests.accept(site.make_job("a", work_s=9.0), 2.0)
--- a/packages/heronthread-dispatch/tests/test_record.py
+++ b/packages/heronthread-dispatch/tests/test_record.py
@@ -1,7 +1,4 @@
-"""Stored forms: what can't be read is set aside, and ends no process that reads it.
-
-A record that ends its reader would end each owner that loads it, one after the other.
-"""
+"""Malformed stored records are set aside and do not end the process that reads them."""
 
 import json
 import random
@@ -36,7 +33,7 @@
 
 
 def _change_one(value: object, source: random.Random, other: object) -> object:
-    """Return a value of which one part, at any depth, is another."""
+    """Return a value with one part, at any depth, replaced by `other`."""
     if isinstance(value, dict) and value and source.random() < 0.9:
         key = source.choice(sorted(value))
         return {**value, key: _change_one(value[key], source, other)}
@@ -59,7 +56,7 @@
 
 
 @given(seed=st.integers(0, 10_000), other=JSON)
-def test_a_job_of_which_a_part_is_wrong_is_read_or_set_aside(seed: int, other: object) -> None:
+def test_a_partly_malformed_job_is_read_or_set_aside(seed: int, other: object) -> None:
     whole = json.loads(EXAMPLE.encode())
     changed = _change_one(whole, random.Random(seed), other)
     found = decode_job(json.dumps(changed).encode())
@@ -67,8 +64,10 @@
         assert isinstance(decode_job(found.encode()), JobRecord)
 
 
-async def test_what_cannot_be_read_is_set_aside_and_the_rest_goes_on(autojump_clock: Clock) -> None:
-    """Of six jobs, one has no readable form and one no readable progress; owners come and go."""
+async def test_malformed_records_are_set_aside_and_the_rest_continues(
+    autojump_clock: Clock,
+) -> None:
+    """Of six jobs, one record and one progress are malformed, over several takeovers."""
     async with EmulatedSite.open(hosts=3) as site:
         await site.wait_for_owner()
         for number in range(6):
@@ -94,7 +93,7 @@
         assert {job_key("j0"), progress_key("j1"), "cell/0/host/h9"} <= told
 
 
-async def test_an_owner_waits_where_it_can_not_read_which_executors_are_in_use(
+async def test_an_owner_waits_if_the_executors_in_use_are_malformed(
     autojump_clock: Clock,
 ) -> None:
     async with EmulatedSite.open(hosts=2) as site:
--- a/packages/heronthread-dispatch/tests/test_refusals.py
+++ b/packages/heronthread-dispatch/tests/test_refusals.py
@@ -1,6 +1,6 @@
-"""Executors that are sound and take no work for good: one test for each way into it.
+"""Usable executors that would never get work again: one test for each cause.
 
-Sound is one that answers, whose newest entry is good and says ready.
+An executor is usable if it answers and its newest entry is valid and says ready.
 """
 
 import json
@@ -29,8 +29,8 @@
 
 Clock = trio.testing.MockClock
 HEARTBEAT_S = 1.5
-STANDS_S = 3.0
-"""What callers bear of a job whose turn has come, with room for it twice over."""
+MAX_DELAY_S = 3.0
+"""How long a ready job with ample room may wait at most."""
 
 
 def _owner(site: EmulatedSite) -> Owner:
@@ -49,13 +49,13 @@
     return _state(site, name).find_refusal(trio.current_time())
 
 
-async def _hand_in(site: EmulatedSite, job: str, **more: object) -> None:
+async def _submit(site: EmulatedSite, job: str, **more: object) -> None:
     host = next(iter(site.hosts.values()))
     await host.requests.accept(site.make_job(job, **more), 2.0)  # type: ignore[arg-type]
 
 
-async def _beat(site: EmulatedSite, seconds: float, name: str = "e0") -> None:
-    """Let an executor say what it is at each heartbeat for a while."""
+async def _send_heartbeats(site: EmulatedSite, seconds: float, name: str = "e0") -> None:
+    """Write an executor's entry at each heartbeat for a while."""
     until = trio.current_time() + seconds
     while trio.current_time() < until:
         site.say(name)
@@ -73,8 +73,8 @@
         site.say("e0")
         await trio.sleep(1.0)
         assert _find_refusal(site) is None
-        await _hand_in(site, "a", work_s=1.0)
-        await trio.sleep(STANDS_S)
+        await _submit(site, "a", work_s=1.0)
+        await trio.sleep(MAX_DELAY_S)
         assert await site.find_status("a") is JobStatus.SUCCEEDED
         site.drain_executor("e0", 30.0)
         await trio.sleep(1.0)
@@ -88,13 +88,13 @@
     site.store.put(ENTRIES + name, json.dumps(entry).encode())
 
 
-async def test_executor_that_answers_as_the_same_life_at_another_address_takes_work(
+async def test_executor_at_a_new_address_takes_work(
     autojump_clock: Clock,
 ) -> None:
-    """It was heard where an earlier owner had reached it, and its entry names another way there."""
+    """It reported at the address known to an earlier owner, and its entry names another one."""
     async with EmulatedSite.open(hosts=2, executors=2) as site:
         name = await site.wait_for_owner()
-        await _hand_in(site, "before", count=4, work_s=12.0)
+        await _submit(site, "before", count=4, work_s=12.0)
         await trio.sleep(1.0)
         site.store.remove(ENTRIES + "e0")
         site.kill_host(name)
@@ -102,7 +102,7 @@
         await trio.sleep(1.0)
         site.say("e0")
         _write_address(site, "another-way")
-        await trio.sleep(STANDS_S)
+        await trio.sleep(MAX_DELAY_S)
         assert _find_refusal(site) is None
         assert _state(site).executor.address == "another-way"
         await trio.sleep(12.0)
@@ -112,12 +112,12 @@
 
 
 @pytest.mark.parametrize("answer", ["nobody", "another life"])
-async def test_entry_with_an_address_where_it_does_not_answer_is_not_followed(
+async def test_entry_with_an_address_without_an_answer_is_ignored(
     autojump_clock: Clock, monkeypatch: pytest.MonkeyPatch, answer: str
 ) -> None:
     async with EmulatedSite.open(hosts=1, executors=2) as site:
         await site.wait_for_owner()
-        await _hand_in(site, "a", count=8, work_s=8.0)
+        await _submit(site, "a", count=8, work_s=8.0)
         await trio.sleep(1.0)
         hold = site.executors.hold
 
@@ -140,10 +140,10 @@
         assert check_promises(site.executors, {}) == []
 
 
-async def test_life_that_begins_to_answer_after_its_entry_takes_work(
+async def test_instance_that_answers_only_after_its_entry_takes_work(
     autojump_clock: Clock,
 ) -> None:
-    """Asked at once the life before still answers; nothing runs, so nobody would ask again."""
+    """The first probe reaches the previous instance; it must be repeated although nothing runs."""
     async with EmulatedSite.open(hosts=1, executors=1) as site:
         await site.wait_for_owner()
         await trio.sleep(1.0)
@@ -156,17 +156,17 @@
         assert _find_refusal(site) is WorkRefusal.OTHER_INSTANCE
         before.is_gone = True
         site.executors.by_id["e0"] = later
-        await _beat(site, STANDS_S)
+        await _send_heartbeats(site, MAX_DELAY_S)
         assert _find_refusal(site) is None
-        await _hand_in(site, "a", work_s=1.0)
-        await trio.sleep(STANDS_S)
+        await _submit(site, "a", work_s=1.0)
+        await trio.sleep(MAX_DELAY_S)
         assert await site.find_status("a") is JobStatus.SUCCEEDED
 
 
-async def test_executor_that_is_back_while_its_record_is_written_takes_work(
+async def test_executor_that_returns_while_its_record_is_written_takes_work(
     autojump_clock: Clock, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The record that is written names it as it is, so nothing was written, nor marked, again."""
+    """The record in flight already lists it, so no further write would mark it as recorded."""
     async with EmulatedSite.open(hosts=1, executors=2) as site:
         await site.wait_for_owner()
         await trio.sleep(1.0)
@@ -183,7 +183,7 @@
         site.store.remove(ENTRIES + "e0")
         await trio.sleep(0.3)
         site.say("e0")
-        await _beat(site, 2 * STANDS_S)
+        await _send_heartbeats(site, 2 * MAX_DELAY_S)
         assert _find_refusal(site) is None
 
 
@@ -214,11 +214,11 @@
         site.views["h0"].is_cut = False
         await trio.sleep(0.5)
         site.say("e0")
-        await trio.sleep(STANDS_S)
+        await trio.sleep(MAX_DELAY_S)
         assert _find_refusal(site) is None
 
 
-async def test_executor_takes_work_after_its_evacuation_was_taken_back(
+async def test_executor_takes_work_after_its_evacuation_was_withdrawn(
     autojump_clock: Clock,
 ) -> None:
     async with EmulatedSite.open(hosts=2, executors=2, zones=2) as site:
@@ -231,23 +231,25 @@
         assert _find_refusal(site) is None
 
 
-async def test_executor_that_was_silent_takes_work_as_it_answers(autojump_clock: Clock) -> None:
+async def test_executor_that_was_unresponsive_takes_work_when_it_answers(
+    autojump_clock: Clock,
+) -> None:
     async with EmulatedSite.open(hosts=1, executors=1) as site:
         await site.wait_for_owner()
-        await _hand_in(site, "a", work_s=2.0)
+        await _submit(site, "a", work_s=2.0)
         await trio.sleep(1.0)
         site.executors.by_id["e0"].is_cut = True
         await trio.sleep(12.0)
         assert _find_refusal(site) is WorkRefusal.SILENT
         site.executors.by_id["e0"].is_cut = False
-        await trio.sleep(STANDS_S)
+        await trio.sleep(MAX_DELAY_S)
         assert _find_refusal(site) is None
 
 
-async def test_executor_whose_life_was_called_over_is_taken_anew_at_its_next_entry(
+async def test_executor_reported_as_ended_is_used_again_at_its_next_entry(
     autojump_clock: Clock, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """One answer to a start says so, while its holds are answered and nothing runs there."""
+    """One start is answered so, while holds are answered as before and nothing runs there."""
     async with EmulatedSite.open(hosts=1, executors=1) as site:
         await site.wait_for_owner()
         await trio.sleep(1.0)
@@ -258,34 +260,34 @@
             return OtherLife()
 
         monkeypatch.setattr(site.executors, "start", deny_once)
-        await _hand_in(site, "a", work_s=1.0)
-        await _beat(site, 2 * STANDS_S)
+        await _submit(site, "a", work_s=1.0)
+        await _send_heartbeats(site, 2 * MAX_DELAY_S)
         assert _find_refusal(site) is None
         assert await site.find_status("a") is JobStatus.SUCCEEDED
 
 
-async def test_idle_executor_whose_life_was_called_over_is_taken_anew(
+async def test_idle_executor_reported_as_ended_is_used_again(
     autojump_clock: Clock,
 ) -> None:
     async with EmulatedSite.open(hosts=1, executors=1) as site:
         await site.wait_for_owner()
         await trio.sleep(2.0)
         _state(site).mark_ended()
-        await _beat(site, STANDS_S)
+        await _send_heartbeats(site, MAX_DELAY_S)
         assert _find_refusal(site) is None
 
 
-async def _wait_beside_a_bad_job(count: int, executors: int) -> float:
-    """Return the longest wait (s) of small jobs beside one of which each run fails, wherever."""
+async def _measure_wait_beside_a_failing_job(count: int, executors: int) -> float:
+    """Return the longest wait (s) of small jobs beside a job whose runs fail everywhere."""
     async with EmulatedSite.open(hosts=1, executors=executors) as site:
         await site.wait_for_owner()
-        await _hand_in(site, "bad", count=count, work_s=0.4)
+        await _submit(site, "bad", count=count, work_s=0.4)
         need = site.executors.specs["bad"][0].need
         site.executors.specs["bad"] = {0: WorkSpec(need, 0.4, 1, EndKind.FAILED)}
         longest = 0.0
         for number in range(20):
             name, asked = f"good{number}", trio.current_time()
-            await _hand_in(site, name, work_s=0.1)
+            await _submit(site, name, work_s=0.1)
             with trio.move_on_after(12.0):
                 while not site.executors.starts(TaskKey(name, 0, 0)):
                     await trio.sleep(0.02)
@@ -296,25 +298,25 @@
 
 @pytest.mark.parametrize("seed", [0, 1, 2, 3])
 @pytest.mark.parametrize(("count", "executors"), [(20, 6), (60, 20)])
-def test_a_job_that_fails_by_itself_keeps_no_executor_from_others(
+def test_a_failing_job_does_not_block_executors_for_others(
     seed: int, count: int, executors: int
 ) -> None:
-    """What is at fault is the job, which has room for less than half of the pool at once."""
-    assert run_seeded(seed, _wait_beside_a_bad_job, count, executors) < STANDS_S
+    """The job is at fault, and occupies less than half of the pool at once."""
+    assert run_seeded(seed, _measure_wait_beside_a_failing_job, count, executors) < MAX_DELAY_S
 
 
 @pytest.mark.parametrize("executors", [1, 2, 6])
-async def test_a_lasting_task_that_fails_often_is_back_before_callers_miss_it(
+async def test_a_lasting_task_that_fails_often_is_restarted_soon(
     autojump_clock: Clock, executors: int
 ) -> None:
-    """It may fail at any time, which says nothing of the executors where it did."""
+    """A failure of a long-running task does not mean that its executor is at fault."""
     async with EmulatedSite.open(hosts=1, executors=executors) as site:
         await site.wait_for_owner()
-        await _hand_in(site, "a", work_s=0.4, lasting=True)
+        await _submit(site, "a", work_s=0.4, lasting=True)
         need = site.executors.specs["a"][0].need
         site.executors.specs["a"] = {0: WorkSpec(need, 0.4, 1, EndKind.FAILED)}
         await trio.sleep(40.0)
         starts = [start.at for start in site.executors.starts(TaskKey("a", 0, 0))]
         gaps = [later - at for at, later in zip(starts, starts[1:], strict=False)]
-        assert max(gaps) < STANDS_S
+        assert max(gaps) < MAX_DELAY_S
         assert check_promises(site.executors, {}) == []
--- a/packages/heronthread-dispatch/tests/test_refusing_executors.py
+++ b/packages/heronthread-dispatch/tests/test_refusing_executors.py
@@ -1,7 +1,7 @@
-"""Executors whose addresses refuse connections while all that runs there goes on.
+"""Executors that refuse connections while their runs continue.
 
-A cut may refuse instead of saying nothing, so a refusal alone proves no run over and blames nobody
-for good.
+A network partition may look the same, so a refused connection proves no run over and no task
+guilty.
 """
 
 import pytest
@@ -16,7 +16,7 @@
 
 
 async def _begin(site: EmulatedSite, count: int, *, gang: bool = False) -> dict[str, Told]:
-    """Hand a job in, and return what its caller was told once it runs."""
+    """Submit a job, and return what its caller knows once it runs."""
     owner = await site.wait_for_owner()
     host = next(name for name in site.hosts if name != owner)
     record = site.make_job("a", count=count, accelerators=8, work_s=WORK_S, gang=gang)
@@ -28,7 +28,7 @@
 
 
 async def _refuse(site: EmulatedSite, for_s: float) -> None:
-    """Have every executor that runs something refuse for some seconds."""
+    """Have every executor with runs refuse connections for some seconds."""
     places = [place for place in site.executors.by_id.values() if place.running]
     for place in places:
         place.is_down = True
@@ -45,9 +45,9 @@
 
 
 async def _settle(site: EmulatedSite, told: dict[str, Told]) -> None:
-    """Let the job end, and see that every promise was kept: above all, no work ran twice at once.
+    """Let the job end, and check every promise, above all that no task ran twice at once.
 
-    What an owner can't reach may be stopped, or lapse, and run anew elsewhere afterwards.
+    Runs that an owner can't reach may be stopped or expire, and be repeated elsewhere afterwards.
     """
     await trio.sleep(2 * WORK_S + 5.0)
     found = await next(iter(site.hosts.values())).requests.find_job("a")
@@ -69,10 +69,10 @@
 
 @pytest.mark.parametrize("refused_s", REFUSED_S)
 @pytest.mark.parametrize("gang", [False, True])
-async def test_next_owner_starts_nothing_that_may_run_where_it_is_refused(
+async def test_next_owner_starts_nothing_that_may_run_at_a_refusing_executor(
     autojump_clock: Clock, refused_s: float, gang: bool
 ) -> None:
-    """It has no connection of before to the executors, as the owner that gave the orders had."""
+    """Unlike the previous owner, it has no connections to the executors yet."""
     async with EmulatedSite.open(hosts=4, executors=8) as site:
         told = await _begin(site, 3, gang=gang)
         async with trio.open_nursery() as nursery:
@@ -82,8 +82,8 @@
         await _settle(site, told)
 
 
-async def test_jobs_are_not_given_up_over_refusals_in_a_row(autojump_clock: Clock) -> None:
-    """Three executors refuse under a task that has just begun, as often as would fail its job."""
+async def test_jobs_do_not_fail_because_of_repeated_refusals(autojump_clock: Clock) -> None:
+    """Three executors refuse just after a start: enough to fail the job if it were blamed."""
     async with EmulatedSite.open(hosts=3, executors=8) as site:
         told = await _begin(site, 3)
         for _ in range(3):
--- a/packages/heronthread-dispatch/tests/test_reported_lives.py
+++ b/packages/heronthread-dispatch/tests/test_report_logging.py
@@ -1,4 +1,4 @@
-"""What is logged of the lives that executors report."""
+"""Logging of the executor instances that report."""
 
 import eliot
 import trio
@@ -7,7 +7,7 @@
 Clock = trio.testing.MockClock
 
 
-async def test_each_life_that_reports_is_logged_once(autojump_clock: Clock) -> None:
+async def test_each_reporting_instance_is_logged_once(autojump_clock: Clock) -> None:
     lines: list[dict[str, object]] = []
     eliot.add_destinations(lines.append)
     try:
--- a/packages/heronthread-dispatch/tests/test_waits_begun_anew.py
+++ b/packages/heronthread-dispatch/tests/test_restarted_waits.py
@@ -1,4 +1,4 @@
-"""Waits that each owner begins anew, or that go on beside room though nothing can come of them."""
+"""Waits that each owner restarts, or that continue without effect beside free room."""
 
 import pytest
 import trio
@@ -8,15 +8,15 @@
 Clock = trio.testing.MockClock
 TASK = TaskKey("a", 0, 0)
 WAIT_S = 7.5
-NOTED_EACH_S = 1.0
-STANDS_S = 3.0
+RECORD_INTERVAL_S = 1.0
+MAX_DELAY_S = 3.0
 
 
 @pytest.mark.parametrize("says_born", [True, False])
-async def test_an_owner_waits_only_for_what_is_left_where_executors_say_no_start_of_their_life(
+async def test_an_owner_waits_only_for_the_remaining_lease_of_an_executor(
     autojump_clock: Clock, says_born: bool
 ) -> None:
-    """There the store lists no starts, and what is named at an unsure executor waits anew."""
+    """Without recorded starts, the wait depends on the executor's recorded lease."""
     async with EmulatedSite.open(hosts=3, executors=6, says_born=says_born) as site:
         owner = await site.wait_for_owner()
         host = next(name for name in site.hosts if name != owner)
@@ -28,19 +28,15 @@
         await trio.sleep(5.0)
         site.kill_host(await site.wait_for_owner())
         await site.wait_for_owner()
-        await trio.sleep(WAIT_S - 5.0 + NOTED_EACH_S)
+        await trio.sleep(WAIT_S - 5.0 + RECORD_INTERVAL_S)
         assert len(site.executors.starts(TASK)) == 2
         assert check_promises(site.executors, {}) == []
 
 
-async def test_a_start_without_an_answer_pins_its_task_to_no_executor_without_an_entry(
+async def test_an_unanswered_start_does_not_pin_its_task_to_an_executor_without_an_entry(
     autojump_clock: Clock,
 ) -> None:
-    """It answers and refuses the start, and takes no work: the task stands for up to 12 s.
-
-    In a soak (seed 5327) two jobs stood for 12.2 s each, pinned to e0 ("no entry", heard), beside
-    five idle executors.
-    """
+    """It answers and refuses the start but takes no work, so the task would wait for up to 12 s."""
     async with EmulatedSite.open(hosts=3, executors=1) as site:
         owner = await site.wait_for_owner()
         await trio.sleep(1.0)
@@ -55,19 +51,17 @@
         for number in range(1, 6):
             site.add_executor(f"e{number}", "r1")
         await site.wait_for_owner()
-        await trio.sleep(STANDS_S)
+        await trio.sleep(MAX_DELAY_S)
         assert len(site.executors.starts(TASK)) == 1
 
 
-async def test_an_owner_that_is_gone_before_it_is_ready_leaves_no_names_of_what_it_has_heard(
+async def test_an_owner_that_ends_before_it_is_ready_has_removed_resolved_placements(
     autojump_clock: Clock,
 ) -> None:
-    """A gang's runs at two executors that were heard are over, but the store names them still.
+    """A gang's runs at two executors are over, but the store still lists them.
 
-    Only what is marked is written, and names are brought up to date for all jobs once the last
-    silent executor is settled. So an executor that is lost with the second owner withholds the gang
-    anew, though the second owner knew that nothing of it is there. In a play of rounds (seed 13,
-    three crashes with each owner) a gang stood for 10.0 s over three owners that way.
+    If the second owner does not update the record before it is ready, an executor lost together
+    with it withholds the gang again.
     """
     async with EmulatedSite.open(hosts=3, executors=12) as site:
         owner = await site.wait_for_owner()
@@ -84,5 +78,5 @@
         site.executors.by_id[second].is_cut = True
         site.kill_host(owner)
         await site.wait_for_owner()
-        await trio.sleep(WAIT_S - 5.0 + NOTED_EACH_S)
+        await trio.sleep(WAIT_S - 5.0 + RECORD_INTERVAL_S)
         assert len(site.executors.starts()) == 6
--- a/packages/heronthread-dispatch/tests/test_schedule.py
+++ b/packages/heronthread-dispatch/tests/test_schedule.py
@@ -1,4 +1,4 @@
-"""Jobs with times: each time runs once, never early, whoever owns the cell."""
+"""Scheduled jobs: each occurrence runs once, never early, whichever host owns the cell."""
 
 import trio
 from heronthread_dispatch.model import Schedule, TaskKey
@@ -22,7 +22,7 @@
     return found
 
 
-async def test_each_time_runs_when_it_is_due(autojump_clock: Clock) -> None:
+async def test_each_occurrence_runs_when_it_is_due(autojump_clock: Clock) -> None:
     async with EmulatedSite.open() as site:
         await site.wait_for_owner()
         due = trio.current_time() + 3.0
@@ -40,7 +40,7 @@
         assert check_promises(site.executors, {"a": told}) == []
 
 
-async def test_times_may_overlap(autojump_clock: Clock) -> None:
+async def test_occurrences_may_overlap(autojump_clock: Clock) -> None:
     async with EmulatedSite.open() as site:
         await site.wait_for_owner()
         due = trio.current_time()
@@ -50,7 +50,7 @@
         assert await _status(site, "a") is JobStatus.SUCCEEDED
 
 
-async def test_next_owner_runs_only_what_is_left(autojump_clock: Clock) -> None:
+async def test_next_owner_runs_only_the_remaining_occurrences(autojump_clock: Clock) -> None:
     async with EmulatedSite.open(hosts=3) as site:
         owner = await site.wait_for_owner()
         due = trio.current_time() + 0.5
@@ -63,7 +63,7 @@
         assert {time: len(at) for time, at in _starts(site).items()} == {0: 1, 1: 1, 2: 1, 3: 1}
 
 
-async def test_cancelled_job_does_not_begin_its_next_time(autojump_clock: Clock) -> None:
+async def test_cancelled_job_does_not_begin_its_next_occurrence(autojump_clock: Clock) -> None:
     async with EmulatedSite.open() as site:
         await site.wait_for_owner()
         due = trio.current_time() + 0.5
--- a/packages/heronthread-dispatch/tests/test_spares.py
+++ b/packages/heronthread-dispatch/tests/test_spares.py
@@ -6,15 +6,15 @@
 
 
 async def _fill(site: EmulatedSite, work_s: float) -> None:
-    """Have every executor full."""
+    """Fill every executor."""
     host = site.hosts[await site.wait_for_owner()]
     count = 8 * len(site.executors.by_id)
     await host.requests.accept(site.make_job("long", count=count, work_s=work_s), 2.0)
     await trio.sleep(0.5)
 
 
-async def test_jobs_that_wait_have_few_executors_named(autojump_clock: Clock) -> None:
-    """Each job has others, so that what comes free anywhere serves one of them."""
+async def test_waiting_jobs_have_few_spares(autojump_clock: Clock) -> None:
+    """Jobs have different spares, so that any executor that becomes free serves one of them."""
     async with EmulatedSite.open(hosts=1, executors=24) as site:
         await _fill(site, 9.0)
         host = site.hosts["h0"]
@@ -31,7 +31,7 @@
         assert all(not jobs[f"w{number}"].places.spare for number in range(12))
 
 
-async def test_a_gang_that_waits_has_one_small_rack_named(autojump_clock: Clock) -> None:
+async def test_a_waiting_gang_has_one_small_rack_as_spares(autojump_clock: Clock) -> None:
     async with EmulatedSite.open(hosts=1, executors=24, racks=12) as site:
         await _fill(site, 9.0)
         host = site.hosts["h0"]
@@ -47,7 +47,7 @@
         assert host.owner.cell.jobs["large"].places.spare == frozenset()
 
 
-async def test_spares_that_take_no_work_any_more_are_replaced(autojump_clock: Clock) -> None:
+async def test_spares_that_take_no_work_are_replaced(autojump_clock: Clock) -> None:
     async with EmulatedSite.open(hosts=1, executors=30) as site:
         await _fill(site, 20.0)
         host = site.hosts["h0"]
@@ -62,10 +62,10 @@
         assert len(places.spare) == 2
 
 
-async def test_one_silent_executor_withholds_few_of_the_jobs_that_waited(
+async def test_one_unresponsive_executor_withholds_few_waiting_jobs(
     autojump_clock: Clock,
 ) -> None:
-    """With six spares of 24 it withheld 8 of 24 jobs, which had never begun, for 7.47 s."""
+    """Too many spares would withhold many jobs that have never begun."""
     async with EmulatedSite.open(hosts=3, executors=24) as site:
         await _fill(site, 5.0)
         owner = site.owner_name()
--- a/packages/heronthread-dispatch/tests/test_two_late_runs.py
+++ b/packages/heronthread-dispatch/tests/test_two_late_runs.py
@@ -1,10 +1,7 @@
-"""Two runs of a task whose starts are both late, carried out by one life of an executor.
+"""Two runs of a task whose starts are both late, carried out by one instance of an executor.
 
-In a soak (seed 203) a gang member's start had no answer; its mate was turned away, so it was
-stopped, which its executor obeyed. The gang's next run went to the same executor, as that life
-refused the first one, and had no answer either. Then its owner was killed and the executor started
-again: the life that came next refused neither, and carried both out 0.10 s and 0.32 s after it
-began, before the next owner had reached it.
+The previous instance refused the first run, so the second one was sent there as well. A new
+instance that no owner has reached refuses neither.
 """
 
 import trio
@@ -14,14 +11,14 @@
 Clock = trio.testing.MockClock
 TASK = TaskKey("a", 0, 0)
 LATE_S = 5.6
-BORN_BEFORE_S = 0.1
-APART_S = 0.05
-UNDER_WAY_S = 0.01
+STARTED_BEFORE_S = 0.1
+DELAY_BETWEEN_S = 0.05
+SEND_TIME_S = 0.01
 """Until a start that was just sent has left its host."""
 
 
 async def _lose_both_starts(site: EmulatedSite, owner: str) -> float:
-    """Have two runs of a task sent to e0 without an answer; return when both are to come there."""
+    """Send two runs of a task to e0 without an answer; return when both are to arrive."""
     place = site.executors.by_id["e0"]
     host = next(name for name in site.hosts if name != owner)
     comes_at = trio.current_time() + LATE_S
@@ -31,19 +28,19 @@
         await trio.sleep(0.001)
     place.lose_starts = 1
     while place.lose_starts:
-        place.late_s = comes_at + APART_S - trio.current_time()
+        place.late_s = comes_at + DELAY_BETWEEN_S - trio.current_time()
         await trio.sleep(0.001)
-    await trio.sleep(UNDER_WAY_S)
+    await trio.sleep(SEND_TIME_S)
     return comes_at
 
 
-async def test_two_late_runs_at_one_life_do_not_run_at_once(autojump_clock: Clock) -> None:
-    """The life that carries both out began just before, and no owner has reached it yet."""
+async def test_two_late_runs_at_one_instance_do_not_overlap(autojump_clock: Clock) -> None:
+    """The instance that carries both out began just before, and no owner has reached it yet."""
     async with EmulatedSite.open(hosts=3, executors=1) as site:
         owner = await site.wait_for_owner()
         await trio.sleep(1.0)
         comes_at = await _lose_both_starts(site, owner)
         site.kill_host(owner)
-        site.restart_executor("e0", comes_at - BORN_BEFORE_S - trio.current_time())
+        site.restart_executor("e0", comes_at - STARTED_BEFORE_S - trio.current_time())
         await trio.sleep(20.0)
         assert check_promises(site.executors, {}) == []
--- a/packages/heronthread-dispatch/tests/test_unheard_life.py
+++ b/packages/heronthread-dispatch/tests/test_unreported_instance.py
@@ -1,7 +1,7 @@
-"""A late start at a life that is up and that no owner reaches.
+"""A late start at a running instance that no owner reaches.
 
-How long a start may be late bounds when its run begins. The run then goes on for up to the longest
-holding time, 10 s, as the order brings a time on the other life's clock; nobody counts these.
+The delay bounds when its run begins. The run then lasts for up to the longest lease, as the order's
+deadline is on the other instance's clock; this time is not counted yet.
 """
 
 import trio
@@ -13,14 +13,14 @@
 LATE_S = 8.0
 
 
-async def _cut_next_life(site: EmulatedSite) -> None:
+async def _partition_next_instance(site: EmulatedSite) -> None:
     place = site.executors.by_id["e0"]
     while site.executors.by_id["e0"] is place:
         await trio.sleep(0.0005)
     site.executors.by_id["e0"].is_cut = True
 
 
-async def test_task_is_not_started_beside_a_late_run_of_an_unheard_life(
+async def test_task_is_not_started_beside_a_late_run_of_an_unreported_instance(
     autojump_clock: Clock,
 ) -> None:
     async with EmulatedSite.open(hosts=5, executors=1) as site:
@@ -35,7 +35,7 @@
             await trio.sleep(0.002)
         await trio.sleep(0.01)
         site.restart_executor("e0", 0.5)
-        site.nursery.start_soon(_cut_next_life, site)
+        site.nursery.start_soon(_partition_next_instance, site)
         site.add_executor("e1", "r1")
         site.kill_host(await site.wait_for_owner())
         await site.wait_for_owner()
--- a/packages/heronthread-dispatch/tests/test_used.py
+++ b/packages/heronthread-dispatch/tests/test_used.py
@@ -1,4 +1,4 @@
-"""What the store says of executors in use, and how the next owner counts on it."""
+"""The recorded executors in use, and how the next owner relies on them."""
 
 import json
 
@@ -18,7 +18,7 @@
 Clock = trio.testing.MockClock
 
 
-def test_what_is_written_is_read_again() -> None:
+def test_encoded_executors_are_decoded_unchanged() -> None:
     used = {
         "e0": UsedExecutor("a:1", "pool"),
         "e1": UsedExecutor("a:2", "pool", (TaskKey("j", 0, 1, 0),), 17, False),
@@ -28,13 +28,13 @@
     assert decode_used(encode_used(used)) == used
 
 
-def test_row_of_an_executor_that_may_be_held_is_as_earlier_versions_write_it() -> None:
+def test_row_without_a_remaining_lease_has_the_earlier_form() -> None:
     row = json.loads(encode_used({"e0": UsedExecutor("a:1", "pool", None, 17, True)}))["e0"]
     assert row == ["a:1", "pool", None, 17, True]
 
 
 @pytest.mark.parametrize("left", [-0.1, float("inf"), float("nan"), "soon", [1.0]])
-def test_time_that_is_none_is_unreadable(left: object) -> None:
+def test_invalid_remaining_lease_is_unreadable(left: object) -> None:
     data = json.dumps({"e0": ["a:1", "pool", None, 0, True, left]}).encode()
     assert isinstance(decode_used(data), Unreadable)
 
@@ -45,10 +45,10 @@
     return used[name].lapses_in_s
 
 
-async def test_executor_is_held_again_only_once_the_store_does_not_say_that_it_lapses(
+async def test_lease_is_renewed_only_once_the_record_of_its_end_is_withdrawn(
     autojump_clock: Clock,
 ) -> None:
-    """A next owner would else count its runs as over while they go on."""
+    """Otherwise the next owner would count its runs as over while they continue."""
     async with EmulatedSite.open(hosts=1, executors=1) as site:
         await site.wait_for_owner()
         await site.hosts["h0"].requests.accept(site.make_job("a", work_s=5.0), 2.0)
@@ -71,7 +71,7 @@
         assert check_promises(site.executors, {}) == []
 
 
-async def test_executor_that_answers_nobody_for_long_keeps_no_later_owner_waiting(
+async def test_long_unresponsive_executor_does_not_delay_later_owners(
     autojump_clock: Clock,
 ) -> None:
     async with EmulatedSite.open(hosts=2, executors=4) as site:
--- a/packages/heronthread-dispatch/tests/test_watching.py
+++ b/packages/heronthread-dispatch/tests/test_watching.py
@@ -22,10 +22,10 @@
         assert len(site.executors.starts()) == 6
 
 
-async def test_task_of_executor_that_falls_silent_is_started_again(
+async def test_task_of_an_unresponsive_executor_is_restarted(
     autojump_clock: trio.testing.MockClock,
 ) -> None:
-    """Holds that a silent executor does not answer must not put its lapse off for ever."""
+    """Unanswered holds must not extend the lease of an unresponsive executor."""
     async with EmulatedSite.open() as site:
         await site.wait_for_owner()
         await site.hosts["h0"].requests.accept(site.make_job("a", work_s=5.0), 2.0)
@@ -40,10 +40,10 @@
         assert await _status(site, "a") is JobStatus.SUCCEEDED
 
 
-async def test_an_executor_that_lists_more_ends_than_a_report_holds_is_not_heard_yet(
+async def test_an_incomplete_first_report_does_not_count(
     autojump_clock: trio.testing.MockClock,
 ) -> None:
-    """The end of its task was not in the first report after the takeover: it was started again."""
+    """The task's end is not in the first report after the takeover, which must not count."""
     async with EmulatedSite.open(hosts=3, executors=3) as site:
         owner = await site.wait_for_owner()
         other = next(host for name, host in site.hosts.items() if name != owner)
@@ -59,10 +59,10 @@
         assert check_promises(site.executors, {}) == []
 
 
-async def test_an_idle_executor_without_its_entry_is_not_asked_all_the_time(
+async def test_an_idle_executor_without_an_entry_is_polled_rarely(
     autojump_clock: trio.testing.MockClock, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """It was asked again as soon as it had answered, until its holding time was over."""
+    """It must be long-polled until its lease expires."""
     asked = 0
     async with EmulatedSite.open(hosts=1, executors=2) as site:
         host = site.hosts[await site.wait_for_owner()]
