--- a/packages/heronthread-dispatch/src/heronthread_dispatch/confirming.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/confirming.py
@@ -63,14 +63,14 @@
             if found is None:
                 continue
             answer_count += 1
-            if not _has_no_answer(found[0]) or answer_count == MAX_PROBES:
+            if not _is_unresolved(found[0]) or answer_count == MAX_PROBES:
                 break
         nursery.cancel_scope.cancel()
     return found
 
 
-def _has_no_answer(outcome: HoldOutcome) -> bool:
-    """Return whether a call without an answer may have been, or may still be, carried out."""
+def _is_unresolved(outcome: HoldOutcome) -> bool:
+    """Return whether a call had no answer and may have been, or may still be, carried out."""
     return isinstance(outcome, Unanswered) and not outcome.unsent
 
 
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/late_starts.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/late_starts.py
@@ -56,7 +56,7 @@
         self._refused_runs: dict[str, tuple[Life, dict[TaskKey, int]]] = {}
         self._refused_at: dict[TaskKey, float] = {}
 
-    def note(self, attempt: Attempt) -> float:
+    def track(self, attempt: Attempt) -> float:
         """Track a send of an attempt's start; return the previous expiry time."""
         if not attempt.life.born:
             # No other instance can receive it, so there is nothing to wait for.
@@ -79,7 +79,7 @@
         else:
             known.pop(start, None)
 
-    def note_refused(self, life: Life, task: TaskKey, run: int) -> None:
+    def mark_refused(self, life: Life, task: TaskKey, run: int) -> None:
         """Record that an instance refuses the runs of a task up to a number.
 
         Kept only for tasks with an unresolved start at this executor.
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/orders.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/orders.py
@@ -132,8 +132,8 @@
         job = orders[0][0].job
         wanted = job.locate_attempts(attempt for _, attempt in orders)
         starts = {to_open_start(attempt) for _, attempt in orders if attempt.life.born}
-        is_named = job.places.covers(wanted) and job.places.covers_starts(starts)
-        if is_named and not job.places.inherited:
+        is_recorded = job.places.covers(wanted) and job.places.covers_starts(starts)
+        if is_recorded and not job.places.inherited:
             return True
         self.cell.recorder.mark(job)
         until = trio.current_time() + NAMING_TIMEOUT_S
@@ -178,7 +178,7 @@
             attempt.sent_at = now
             attempt.is_on_its_way = True
             state.wake.set()
-            open_until = self.cell.late_starts.note(attempt)
+            open_until = self.cell.late_starts.track(attempt)
             outcome = await self.cell.parts.link.start(state.executor, order)
             attempt.is_on_its_way = False
             self._log_send("start", attempt, attempt.sends, now, outcome)
@@ -281,7 +281,7 @@
             # No send can have an effect any more. The run may have ended already, which the next
             # report shows.
             attempt.settled_at = now
-            self.cell.late_starts.note_refused(attempt.life, attempt.task, attempt.run)
+            self.cell.late_starts.mark_refused(attempt.life, attempt.task, attempt.run)
             state.wake.set()
         else:
             self._give_up(attempt, f"refused: {reason}")
@@ -351,7 +351,7 @@
     def _settle_stop(self, attempt: Attempt, state: ExecutorState, outcome: OrderOutcome) -> bool:
         if isinstance(outcome, Obeyed):
             attempt.settled_at = trio.current_time()
-            self.cell.late_starts.note_refused(attempt.life, attempt.task, attempt.run)
+            self.cell.late_starts.mark_refused(attempt.life, attempt.task, attempt.run)
             state.wake.set()
             if not attempt.seen:
                 state.stop_settled.set()
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/owned.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/owned.py
@@ -531,7 +531,7 @@
             log_event("end.unknown", **run, why=end.kind.value)
             return
         task.last_run = max(task.last_run, end.run)
-        self.late_starts.note_refused(state.life, end.task, end.run)
+        self.late_starts.mark_refused(state.life, end.task, end.run)
         attempt = task.attempt
         is_current = attempt is not None and attempt.run == end.run
         if is_current and attempt is not None:
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/record.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/record.py
@@ -315,9 +315,9 @@
     """Decode the crashes under one task; earlier versions stored a mapping of ids."""
     if isinstance(rows, dict):
         return {Life(str(name)): Blame(blame) for name, blame in rows.items()}
-    return {read_life(name, born): Blame(blame) for name, born, blame in rows}
+    return {decode_instance(name, born): Blame(blame) for name, born, blame in rows}
 
 
-def read_life(name: Any, born: Any = 0) -> Life:
+def decode_instance(name: Any, born: Any = 0) -> Life:
     """Decode an executor instance; earlier versions stored no start time."""
     return Life(str(name), int(born))
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/used.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/used.py
@@ -17,7 +17,7 @@
 from .model import Executor, Resources, TaskKey
 from .owned import OwnedCell
 from .progress import JobState
-from .record import MALFORMED, Unreadable, read_life, read_remaining_s, round_remaining_s
+from .record import MALFORMED, Unreadable, decode_instance, read_remaining_s, round_remaining_s
 from .task_names import Names
 
 USED_KEY = "used/0"
@@ -237,7 +237,7 @@
     if not isinstance(is_named, bool):
         raise TypeError(f"is_named of executor {name} is not a boolean")
     keys = None if tasks is None else tuple(map(_read_task, tasks))
-    life = read_life(name, born)
+    life = decode_instance(name, born)
     left_s = read_remaining_s(lapses_in_s)
     return UsedExecutor(str(address), str(pool), keys, life.born, is_named, left_s)
 
--- a/packages/heronthread-dispatch/tests/test_late_starts.py
+++ b/packages/heronthread-dispatch/tests/test_late_starts.py
@@ -25,10 +25,10 @@
 async def test_a_start_is_unresolved_until_its_maximum_delay_is_over(autojump_clock: Clock) -> None:
     starts = LateStarts()
     first = _make_attempt(1)
-    starts.note(first)
+    starts.track(first)
     await trio.sleep(5.0)
     second = _make_attempt(2)
-    starts.note(second)
+    starts.track(second)
     assert starts.list_open("e0") == [LateStart(first.task, 1), LateStart(first.task, 2)]
     assert starts.list_open("e1") == []
     await trio.sleep(MAX_ORDER_DELAY_S - 5.0)
@@ -40,7 +40,7 @@
     """Many orders may go unanswered, and an owner may last for weeks."""
     starts = LateStarts()
     for run in range(100):
-        starts.note(_make_attempt(run))
+        starts.track(_make_attempt(run))
         await trio.sleep(1.0)
     assert len(starts._until["e0"]) <= MAX_ORDER_DELAY_S + 1
 
@@ -57,9 +57,9 @@
 ) -> None:
     starts, first = LateStarts(), _make_attempt(1)
     states = {"e0": _make_state("e0", 7), "e1": _make_state("e1", 7)}
-    starts.note(first)
+    starts.track(first)
     assert starts.find_pins(states) == {first.task: NOWHERE}
-    starts.note_refused(Life("e0", 7), first.task, 1)
+    starts.mark_refused(Life("e0", 7), first.task, 1)
     assert starts.find_pins(states) == {first.task: "e0"}
     starts.note_start_refused(first.task)
     assert starts.find_pins(states) == {first.task: NOWHERE}
@@ -68,7 +68,7 @@
     assert starts.find_pins(states) == {first.task: NOWHERE}
     states["e0"] = _make_state("e0", 9)
     assert starts.find_pins(states) == {first.task: NOWHERE}
-    starts.note_refused(Life("e0", 9), first.task, 1)
+    starts.mark_refused(Life("e0", 9), first.task, 1)
     assert starts.find_pins(states) == {first.task: "e0"}
     await trio.sleep(MAX_ORDER_DELAY_S)
     assert starts.find_pins(states) == {}
@@ -81,18 +81,18 @@
     states = {"e0": _make_state("e0", 7), "e1": _make_state("e1", 7)}
     other = replace(_make_attempt(2), life=Life("e1", 7))
     for attempt in (first, other):
-        starts.note(attempt)
-        starts.note_refused(attempt.life, attempt.task, attempt.run)
+        starts.track(attempt)
+        starts.mark_refused(attempt.life, attempt.task, attempt.run)
     assert starts.find_pins(states) == {first.task: NOWHERE}
 
 
 async def test_an_evacuated_executor_pins_no_task(autojump_clock: Clock) -> None:
     starts, first = LateStarts(), _make_attempt(1)
     states = {"e0": _make_state("e0", 7)}
-    starts.note(first)
+    starts.track(first)
     states["e0"].evacuated = True
     assert starts.find_pins(states) == {first.task: NOWHERE}
-    starts.note_refused(Life("e0", 7), first.task, 1)
+    starts.mark_refused(Life("e0", 7), first.task, 1)
     assert starts.find_pins(states) == {}
 
 
@@ -100,13 +100,13 @@
     autojump_clock: Clock,
 ) -> None:
     starts, first = LateStarts(), _make_attempt(1)
-    assert starts.note(first) == 0.0
+    assert starts.track(first) == 0.0
     starts.settle(first)
     assert not starts.is_open(first)
-    starts.note(first)
+    starts.track(first)
     await trio.sleep(1.0)
     first.sent_at = trio.current_time()
-    starts.settle(first, starts.note(first))
+    starts.settle(first, starts.track(first))
     assert starts.is_open(first)
     await trio.sleep(MAX_ORDER_DELAY_S - 1.0)
     assert not starts.is_open(first)
@@ -116,5 +116,5 @@
     autojump_clock: Clock,
 ) -> None:
     starts = LateStarts()
-    starts.note(replace(_make_attempt(1), life=Life("e0", 0)))
+    starts.track(replace(_make_attempt(1), life=Life("e0", 0)))
     assert starts.list_open("e0") == []
--- a/packages/heronthread-dispatch/tests/test_places.py
+++ b/packages/heronthread-dispatch/tests/test_places.py
@@ -76,8 +76,8 @@
         record = ProgressRecord.decode(item.value) if item else None
         named = (record.places or {}) if record else {}
         job = JobRecord.decode(items[job_key(order.task.job)].value)
-        is_named = named.get(executor.id, 0) >> _find_number(job, order.task) & 1
-        if not is_named and int(items["term/0"].value) == order.token:
+        is_recorded = named.get(executor.id, 0) >> _find_number(job, order.task) & 1
+        if not is_recorded and int(items["term/0"].value) == order.token:
             found.append(f"{order.task} run {order.run} at {executor.id}, recorded: {named}")
         return await start(self, executor, order)
 
