--- a/packages/heronthread-dispatch/tests/test_late_starts.py
+++ b/packages/heronthread-dispatch/tests/test_late_starts.py
@@ -1,13 +1,13 @@
-"""Starts without an answer are remembered for as long as they may be carried out, and no longer."""
+"""Unanswered starts are tracked for as long as they may be carried out, and no longer."""
 
 from dataclasses import replace
 
 import trio
 from heronthread_dispatch.fleet import ExecutorState, make_executor
 from heronthread_dispatch.late_starts import (
-    AGAIN_S,
-    LATE_ORDER_S,
+    MAX_ORDER_DELAY_S,
     NOWHERE,
+    RETRY_REFUSED_S,
     LateStart,
     LateStarts,
 )
@@ -22,27 +22,27 @@
     return Attempt(TaskKey("a", 0, 0), run, Life("e0", 7), NOTHING, now, sent_at=now)
 
 
-async def test_a_start_is_open_until_no_order_can_be_late_any_more(autojump_clock: Clock) -> None:
+async def test_a_start_is_unresolved_until_its_maximum_delay_is_over(autojump_clock: Clock) -> None:
     starts = LateStarts()
     first = _make_attempt(1)
-    starts.note(first)
+    starts.track(first)
     await trio.sleep(5.0)
     second = _make_attempt(2)
-    starts.note(second)
+    starts.track(second)
     assert starts.list_open("e0") == [LateStart(first.task, 1), LateStart(first.task, 2)]
     assert starts.list_open("e1") == []
-    await trio.sleep(LATE_ORDER_S - 5.0)
+    await trio.sleep(MAX_ORDER_DELAY_S - 5.0)
     assert not starts.is_open(first)
     assert starts.is_open(second)
 
 
-async def test_starts_that_are_over_are_forgotten(autojump_clock: Clock) -> None:
-    """Half of all orders go unanswered on some days, and an owner may last for weeks."""
+async def test_expired_starts_are_forgotten(autojump_clock: Clock) -> None:
+    """Many orders may go unanswered, and an owner may last for weeks."""
     starts = LateStarts()
     for run in range(100):
-        starts.note(_make_attempt(run))
+        starts.track(_make_attempt(run))
         await trio.sleep(1.0)
-    assert len(starts._until["e0"]) <= LATE_ORDER_S + 1
+    assert len(starts._until["e0"]) <= MAX_ORDER_DELAY_S + 1
 
 
 def _make_state(name: str, born: int) -> ExecutorState:
@@ -52,67 +52,69 @@
     return state
 
 
-async def test_a_task_with_an_open_start_may_go_only_where_that_is_refused(
+async def test_a_task_with_an_unresolved_start_is_pinned_to_the_executor_that_refuses_it(
     autojump_clock: Clock,
 ) -> None:
     starts, first = LateStarts(), _make_attempt(1)
     states = {"e0": _make_state("e0", 7), "e1": _make_state("e1", 7)}
-    starts.note(first)
+    starts.track(first)
     assert starts.find_pins(states) == {first.task: NOWHERE}
-    starts.note_refused(Life("e0", 7), first.task, 1)
+    starts.mark_refused(Life("e0", 7), first.task, 1)
     assert starts.find_pins(states) == {first.task: "e0"}
-    starts.note_turned_away(first.task)
+    starts.note_start_refused(first.task)
     assert starts.find_pins(states) == {first.task: NOWHERE}
-    await trio.sleep(AGAIN_S)
+    await trio.sleep(RETRY_REFUSED_S)
     states["e0"].silent_since = trio.current_time()
     assert starts.find_pins(states) == {first.task: NOWHERE}
     states["e0"] = _make_state("e0", 9)
     assert starts.find_pins(states) == {first.task: NOWHERE}
-    starts.note_refused(Life("e0", 9), first.task, 1)
+    starts.mark_refused(Life("e0", 9), first.task, 1)
     assert starts.find_pins(states) == {first.task: "e0"}
-    await trio.sleep(LATE_ORDER_S)
+    await trio.sleep(MAX_ORDER_DELAY_S)
     assert starts.find_pins(states) == {}
 
 
-async def test_starts_that_are_open_at_two_executors_let_a_task_go_nowhere(
+async def test_unresolved_starts_at_two_executors_withhold_a_task(
     autojump_clock: Clock,
 ) -> None:
     starts, first = LateStarts(), _make_attempt(1)
     states = {"e0": _make_state("e0", 7), "e1": _make_state("e1", 7)}
     other = replace(_make_attempt(2), life=Life("e1", 7))
     for attempt in (first, other):
-        starts.note(attempt)
-        starts.note_refused(attempt.life, attempt.task, attempt.run)
+        starts.track(attempt)
+        starts.mark_refused(attempt.life, attempt.task, attempt.run)
     assert starts.find_pins(states) == {first.task: NOWHERE}
 
 
-async def test_an_executor_that_takes_nothing_more_pins_no_task(autojump_clock: Clock) -> None:
+async def test_an_evacuated_executor_pins_no_task(autojump_clock: Clock) -> None:
     starts, first = LateStarts(), _make_attempt(1)
     states = {"e0": _make_state("e0", 7)}
-    starts.note(first)
+    starts.track(first)
     states["e0"].evacuated = True
     assert starts.find_pins(states) == {first.task: NOWHERE}
-    starts.note_refused(Life("e0", 7), first.task, 1)
+    starts.mark_refused(Life("e0", 7), first.task, 1)
     assert starts.find_pins(states) == {}
 
 
-async def test_a_send_that_is_answered_leaves_the_ones_before_it_open(
+async def test_an_answered_send_leaves_earlier_sends_unresolved(
     autojump_clock: Clock,
 ) -> None:
     starts, first = LateStarts(), _make_attempt(1)
-    assert starts.note(first) == 0.0
+    assert starts.track(first) == 0.0
     starts.settle(first)
     assert not starts.is_open(first)
-    starts.note(first)
+    starts.track(first)
     await trio.sleep(1.0)
     first.sent_at = trio.current_time()
-    starts.settle(first, starts.note(first))
+    starts.settle(first, starts.track(first))
     assert starts.is_open(first)
-    await trio.sleep(LATE_ORDER_S - 1.0)
+    await trio.sleep(MAX_ORDER_DELAY_S - 1.0)
     assert not starts.is_open(first)
 
 
-async def test_no_other_life_is_feared_where_none_says_its_start(autojump_clock: Clock) -> None:
+async def test_starts_at_executors_without_a_start_time_are_not_tracked(
+    autojump_clock: Clock,
+) -> None:
     starts = LateStarts()
-    starts.note(replace(_make_attempt(1), life=Life("e0", 0)))
+    starts.track(replace(_make_attempt(1), life=Life("e0", 0)))
     assert starts.list_open("e0") == []
