--- a/packages/heronthread-dispatch/src/heronthread_dispatch/approval.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/approval.py
@@ -1,7 +1,7 @@
-"""Asking which executors may run a step, where a queue's policy leaves that to a service.
+"""Requests to an external service that approves executors for steps of certain queues.
 
-Calls are dear and answered one after the other, so one names as many executors as a step may
-need, and what was answered is kept: a ticket for as long as it holds, a denial for good.
+Requests are slow and answered one at a time, so each names as many executors as a step may need.
+Tickets are kept while they are valid, denials for good.
 """
 
 from __future__ import annotations
@@ -18,16 +18,16 @@
 from .executor_link import Unanswered
 from .model import ApprovalTerms, Life, TaskKey
 
-LARGEST_QUESTION = 100
-USUAL_QUESTION = 30
+MAX_EXECUTORS_PER_REQUEST = 100
+DEFAULT_EXECUTORS_PER_REQUEST = 30
 TICKET_MARGIN_S = 0.4
-PAUSE_S = 0.3
-MAX_WAITING = 64
+RETRY_DELAY_S = 0.3
+MAX_QUEUED = 64
 
 
 @dataclass(frozen=True, slots=True)
 class Question:
-    """Which of some executors' lives may run a step; `step` is the key of its first task."""
+    """A request to approve executor lives for a step; `step` is the key of its first task."""
 
     step: TaskKey
     lives: tuple[Life, ...]
@@ -35,29 +35,29 @@
 
     @property
     def executors(self) -> list[str]:
-        """The ids, which are all that the service is told."""
+        """The executor ids, which are all that the service receives."""
         return [life.id for life in self.lives]
 
 
 @dataclass(frozen=True, slots=True)
 class Approved:
-    """The ids of those that may run the step, each with its ticket; the others never may."""
+    """The ids of the approved executors with their tickets; all others are denied for good."""
 
     tickets: dict[str, str]
 
 
 class Approver(Protocol):
-    """The service that decides."""
+    """The service that approves executors."""
 
     async def ask(self, question: Question) -> Approved | Unanswered:
-        """Ask one question."""
+        """Send one request."""
 
 
 class NoApprover:
-    """Where no service is known, nothing is approved."""
+    """Approves nothing, for cells without an approval service."""
 
     async def ask(self, question: Question) -> Approved | Unanswered:
-        """Ask nobody."""
+        """Return that no service is configured."""
         return Unanswered("no approver is known", unsent=True)
 
 
@@ -68,60 +68,60 @@
 
 
 class Approvals:
-    """What has been answered, and the questions that wait; times are on the lasting clock."""
+    """The tickets and denials received and the requests to send; times are on the lasting clock."""
 
     def __init__(self, approver: Approver, on_answer: Callable[[], None]) -> None:
         self._approver = approver
         self._on_answer = on_answer
         self._tickets: dict[TaskKey, dict[Life, _Ticket]] = defaultdict(dict)
         self._denied: dict[TaskKey, set[Life]] = defaultdict(set)
-        self._waiting: deque[Question] = deque()
-        self._asked: set[TaskKey] = set()
-        self._news = trio.Event()
+        self._queue: deque[Question] = deque()
+        self._pending: set[TaskKey] = set()
+        self._has_queued = trio.Event()
 
     def find_ticket(self, step: TaskKey, life: Life) -> str | None:
-        """Return the ticket of a step for an executor's life, if it has one that holds."""
+        """Return a step's valid ticket for an executor's life, None if there is none."""
         ticket = self._tickets[step].get(life)
         if ticket is None or lasting_time() >= ticket.until:
             return None
         return ticket.text
 
     def is_denied(self, step: TaskKey, life: Life) -> bool:
-        """Whether an executor's life may never run a step."""
+        """Whether an executor's life is denied for a step."""
         return life in self._denied[step]
 
     def want(self, question: Question) -> None:
-        """Have a question asked unless one about the step waits already."""
-        if question.step in self._asked or len(self._waiting) >= MAX_WAITING:
+        """Queue a request unless one for the same step is pending."""
+        if question.step in self._pending or len(self._queue) >= MAX_QUEUED:
             return
-        self._asked.add(question.step)
-        self._waiting.append(question)
-        self._news.set()
+        self._pending.add(question.step)
+        self._queue.append(question)
+        self._has_queued.set()
 
     def drop(self, step: TaskKey, life: Life) -> None:
-        """Forget a ticket that was not accepted."""
+        """Discard a ticket that an executor rejected."""
         self._tickets[step].pop(life, None)
 
     async def run(self) -> None:
-        """Ask one question after the other, until cancelled."""
+        """Send the queued requests one at a time until cancelled."""
         while True:
-            while not self._waiting:
-                self._news = trio.Event()
-                await self._news.wait()
-            await self._ask(self._waiting.popleft())
+            while not self._queue:
+                self._has_queued = trio.Event()
+                await self._has_queued.wait()
+            await self._ask(self._queue.popleft())
 
     async def _ask(self, question: Question) -> None:
         sent = lasting_time()
         outcome = await self._approver.ask(question)
-        self._asked.discard(question.step)
+        self._pending.discard(question.step)
         if isinstance(outcome, Unanswered):
             log_event("approval.unanswered", job=question.step.job, reason=outcome.reason)
-            await trio.sleep(PAUSE_S)
+            await trio.sleep(RETRY_DELAY_S)
         else:
-            self._keep(question, outcome, sent)
+            self._store_answer(question, outcome, sent)
         self._on_answer()
 
-    def _keep(self, question: Question, outcome: Approved, sent: float) -> None:
+    def _store_answer(self, question: Question, outcome: Approved, sent: float) -> None:
         until = sent + question.terms.validity_s - TICKET_MARGIN_S
         for life in question.lives:
             text = outcome.tickets.get(life.id)
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/causes.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/causes.py
@@ -1,4 +1,4 @@
-"""What may keep a job from being started though there is room for it."""
+"""Reasons why a job does not start although capacity is free."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class WaitCause(StrEnum):
-    """What keeps a job from being started, as log lines say it."""
+    """The reason why a job does not start, as reported in log lines."""
 
     EARLIER_RUN = "an earlier owner's run may be at a silent executor"
     OWN_RUN = "its own run is not settled"
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/clearing.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/clearing.py
@@ -1,4 +1,4 @@
-"""One search for room among what others run: which stops make room for one task after another."""
+"""Incremental search for the cheapest attempts to stop so that tasks of urgent steps fit."""
 
 from __future__ import annotations
 
@@ -8,147 +8,162 @@
 from .losses import Loss, Losses
 from .model import Resources
 from .progress import Attempt
-from .room import Room, Scope, count_fits
+from .room import Offer, Scope, count_fits
 
 
 @dataclass(frozen=True, slots=True)
-class Terms:
-    """What decides a search beside the executors: equal terms find the same ways.
+class SearchCriteria:
+    """The inputs of a search beside the executors; equal criteria give equal results.
 
-    `guaranteed`: for a job within its customer's guarantee; `waits`: what ends soon by itself
-    counts as free.
+    `guaranteed` marks a job within its customer's guarantee. With `waits_for_ends`, resources of
+    attempts that end soon by themselves count as free.
     """
 
     need: Resources
     guaranteed: bool
-    waits: bool
+    waits_for_ends: bool
     spread_limit: int
 
 
 @dataclass(frozen=True, slots=True)
-class Way:
-    """What to stop at one executor so that one more task fits there."""
+class EvictionOption:
+    """The attempts to stop on one executor so that one more task fits."""
 
     cost: float
     losses: list[Loss]
 
 
-class RoomWays:
-    """The ways at one executor for one task after another, where no other executor matters."""
+class ExecutorOptions:
+    """The options of one executor for successive tasks, if independent of other executors."""
 
-    __slots__ = ("_doomed", "_losses", "_soon", "_terms", "_ways", "room")
+    __slots__ = ("_criteria", "_losses", "_options", "_projected", "_victim_ids", "offer")
 
-    def __init__(self, room: Room, terms: Terms, losses: Losses, first: Way) -> None:
-        self.room = room
-        self._terms = terms
+    def __init__(
+        self, offer: Offer, criteria: SearchCriteria, losses: Losses, first: EvictionOption
+    ) -> None:
+        self.offer = offer
+        self._criteria = criteria
         self._losses = losses
-        self._ways: list[Way | None] = [first]
-        self._soon = room.soon
-        self._doomed: set[int] = set()
-
-    def find(self, place: int) -> Way | None:
-        """Return the way for the task at a place in order, None if there is none."""
-        limit = self._terms.spread_limit
-        if limit and place >= limit:
+        self._options: list[EvictionOption | None] = [first]
+        self._projected = offer.projected
+        self._victim_ids: set[int] = set()
+
+    def option_at(self, index: int) -> EvictionOption | None:
+        """Return the option for the task at an index, None if there is none."""
+        limit = self._criteria.spread_limit
+        if limit and index >= limit:
             return None
-        while len(self._ways) <= place:
-            last = self._ways[-1]
+        while len(self._options) <= index:
+            last = self._options[-1]
             if last is None:
                 return None
             self._apply(last)
-            soon, doomed = self._soon, self._doomed
-            way = find_way(self.room, self._terms, self._losses, soon, doomed)
-            self._ways.append(way)
-        return self._ways[place]
+            projected, victim_ids = self._projected, self._victim_ids
+            option = find_option(self.offer, self._criteria, self._losses, projected, victim_ids)
+            self._options.append(option)
+        return self._options[index]
 
-    def _apply(self, way: Way) -> None:
-        for loss in way.losses:
+    def _apply(self, option: EvictionOption) -> None:
+        for loss in option.losses:
             for member in loss.members:
-                self._doomed.add(id(member))
-                self._soon = self._soon.plus(member.need)
-        self._soon = self._soon.minus(self._terms.need)
+                self._victim_ids.add(id(member))
+                self._projected = self._projected.plus(member.need)
+        self._projected = self._projected.minus(self._criteria.need)
 
 
-def find_way(
-    room: Room, terms: Terms, losses: Losses, soon: Resources, doomed: set[int]
-) -> Way | None:
-    """Return what to stop at one executor beside `doomed`; None if nothing makes room.
+def find_option(
+    offer: Offer,
+    criteria: SearchCriteria,
+    losses: Losses,
+    projected: Resources,
+    victim_ids: set[int],
+) -> EvictionOption | None:
+    """Return what to stop on one executor beside `victim_ids`; None if a task cannot fit.
 
-    `soon` is what is left there without what is running and not doomed.
+    `projected` is what the executor has left once the attempts in `victim_ids` are stopped.
     """
-    need = terms.need
+    need = criteria.need
     ending: frozenset[int] = frozenset()
-    if terms.waits:
-        # What ends by itself is counted here, so stopping it as well would gain nothing.
-        ending = losses.find_ending(room, doomed)
-        soon = losses.add_ending(room, soon, doomed)
-    if need.fits_in(soon):
-        return Way(0.0, [])
+    if criteria.waits_for_ends:
+        # Attempts that end by themselves count as free here, so stopping them gains nothing.
+        ending = losses.find_ending_soon(offer, victim_ids)
+        projected = losses.add_ending_soon(offer, projected, victim_ids)
+    if need.fits_in(projected):
+        return EvictionOption(0.0, [])
     cost = 0.0
     chosen: list[Loss] = []
-    away = set(doomed)
-    for loss in losses.list_takeable(terms.guaranteed, room):
-        if id(loss.attempt) in away or id(loss.attempt) in ending:
+    evicted = set(victim_ids)
+    for loss in losses.list_evictable(criteria.guaranteed, offer):
+        if id(loss.attempt) in evicted or id(loss.attempt) in ending:
             continue
-        if loss.is_lasting and not losses.may_be_away(loss.attempt, away):
+        if loss.is_lasting and not losses.may_disrupt(loss.attempt, evicted):
             continue
         chosen.append(loss)
         cost += loss.core_seconds
         for member in loss.members:
-            away.add(id(member))
-            if member.executor == room.state.id and id(member) not in ending:
-                soon = soon.plus(member.need)
-        if need.fits_in(soon):
-            return Way(cost, chosen)
+            evicted.add(id(member))
+            if member.executor == offer.state.id and id(member) not in ending:
+                projected = projected.plus(member.need)
+        if need.fits_in(projected):
+            return EvictionOption(cost, chosen)
     return None
 
 
 @dataclass(frozen=True, slots=True)
-class RackWays:
-    """The first ways at a rack's executors, the cheapest first.
+class RackOptions:
+    """The first option of each executor in a rack, cheapest first.
 
-    `most` bounds the tasks for which room could be made; what is to be stopped at `unsettled`
-    rooms may depend on stops in any rack.
+    `upper_bound` limits the number of tasks that could fit. Options of `interdependent` offers may
+    depend on stops in any rack.
     """
 
     entries: list[Entry]
-    most: int
-    unsettled: list[Room]
+    upper_bound: int
+    interdependent: list[Offer]
 
 
-Entry = tuple[float, int, int, Way, Room, RoomWays | None]
-"""A way in the order of choice: its cost, its room's number and which one of the room's it is."""
+Entry = tuple[float, int, int, EvictionOption, Offer, ExecutorOptions | None]
+"""An option in queue order: cost, number of its offer, and sequence number among the offer's
+options."""
 
 
-def find_rack_ways(rack: Scope, terms: Terms, losses: Losses) -> RackWays:
-    """Return the ways of a rack before anything is chosen."""
+def find_rack_options(rack: Scope, criteria: SearchCriteria, losses: Losses) -> RackOptions:
+    """Return the options of a rack before any victim is selected."""
 
-    def work_out(rooms: list[Room]) -> RackWays:
+    def compute(offers: list[Offer]) -> RackOptions:
         entries: list[Entry] = []
-        unsettled, most = [], 0
-        for room in rooms:
-            ladder = losses.find_ladder(terms.guaranteed, terms.waits, room)
-            soon = losses.add_ending(room, room.soon) if terms.waits else room.soon
-            most += max(0, count_fits(terms.need, soon.plus(ladder.total)))
-            if ladder.has_lasting:
-                unsettled.append(room)
+        interdependent, upper_bound = [], 0
+        for offer in offers:
+            cumulative = losses.find_cumulative(criteria.guaranteed, criteria.waits_for_ends, offer)
+            projected = (
+                losses.add_ending_soon(offer, offer.projected)
+                if criteria.waits_for_ends
+                else offer.projected
+            )
+            upper_bound += max(0, count_fits(criteria.need, projected.plus(cumulative.total)))
+            if cumulative.has_lasting:
+                interdependent.append(offer)
                 continue
-            found = ladder.find_way(terms.need, soon)
+            found = cumulative.find_option(criteria.need, projected)
             if found is None:
                 continue
-            way = Way(*found)
-            chain = None if ladder.concerns_others else RoomWays(room, terms, losses, way)
-            entries.append((way.cost, room.number, 0, way, room, chain))
+            option = EvictionOption(*found)
+            executor_options = (
+                None
+                if cumulative.affects_others
+                else ExecutorOptions(offer, criteria, losses, option)
+            )
+            entries.append((option.cost, offer.number, 0, option, offer, executor_options))
         entries.sort(key=lambda entry: entry[:2])
-        return RackWays(entries, most, unsettled)
+        return RackOptions(entries, upper_bound, interdependent)
 
-    return rack.keep(("ways", terms), work_out)
+    return rack.cached(("options", criteria), compute)
 
 
-class Choices:
-    """The ways of some racks in the order of choice; new ones of a room replace its old ones."""
+class OptionQueue:
+    """The options of several racks, cheapest first, one per offer."""
 
-    def __init__(self, racks: list[RackWays]) -> None:
+    def __init__(self, racks: list[RackOptions]) -> None:
         self._racks = racks
         self._next = [0] * len(racks)
         self._rack_of: dict[int, int] = {}
@@ -159,135 +174,143 @@
             self._push_next(rack)
 
     def _push_next(self, rack: int) -> None:
-        entries, place = self._racks[rack].entries, self._next[rack]
-        if place < len(entries):
-            self._next[rack] = place + 1
-            self._rack_of[entries[place][1]] = rack
-            heapq.heappush(self._heap, entries[place])
-
-    def replace(self, room: Room, way: Way | None) -> None:
-        """Put a room's new way in place of the one before; None: it has none any more."""
+        entries, index = self._racks[rack].entries, self._next[rack]
+        if index < len(entries):
+            self._next[rack] = index + 1
+            self._rack_of[entries[index][1]] = rack
+            heapq.heappush(self._heap, entries[index])
+
+    def replace(self, offer: Offer, option: EvictionOption | None) -> None:
+        """Replace an offer's option; None if it has none any more."""
         self._replaced += 1
-        self._newest[room.number] = self._replaced
-        if way is not None:
-            entry = (way.cost, room.number, self._replaced, way, room, None)
+        self._newest[offer.number] = self._replaced
+        if option is not None:
+            entry = (option.cost, offer.number, self._replaced, option, offer, None)
             heapq.heappush(self._heap, entry)
 
     def take_cheapest(self) -> Entry | None:
-        """Return the cheapest way, of equal ones that of the first room; it is used up.
+        """Remove and return the cheapest option, on a tie that of the first offer.
 
-        A room on its own has its next way put in at once; any other room's is for the caller
-        to replace.
+        The next option of an offer with `ExecutorOptions` is queued at once; that of any other
+        offer is for the caller to replace.
         """
         while self._heap:
             entry = heapq.heappop(self._heap)
-            _, number, place, _, room, chain = entry
-            if place == 0:
+            _, number, index, _, offer, executor_options = entry
+            if index == 0:
                 self._push_next(self._rack_of[number])
-            if chain is not None:
-                after = chain.find(place + 1)
+            if executor_options is not None:
+                after = executor_options.option_at(index + 1)
                 if after is not None:
-                    heapq.heappush(self._heap, (after.cost, number, place + 1, after, room, chain))
+                    heapq.heappush(
+                        self._heap, (after.cost, number, index + 1, after, offer, executor_options)
+                    )
                 return entry
-            if self._newest.get(number, 0) == place:
+            if self._newest.get(number, 0) == index:
                 return entry
         return None
 
 
 @dataclass(slots=True)
-class Clearing:
-    """One search: what it changes at executors, and what was chosen so far.
+class VictimSearch:
+    """A search with the options selected so far and their effects.
 
-    It goes on from where it stopped, so one search serves all gangs that ask the same: the
-    choices for a smaller one are the first of those for a larger one. After each choice
-    `costs` has the work lost until then and `victim_counts` how many `victims` that takes.
+    It can be resumed, so one search serves all gangs with the same criteria: a smaller gang uses a
+    prefix of a larger gang's selection. After each selection `costs` gets the total work lost and
+    `victim_counts` the number of `victims` so far.
     """
 
     scope: Scope
-    terms: Terms
-    most: int
-    unsettled: list[Room]
-    choices: Choices
+    criteria: SearchCriteria
+    upper_bound: int
+    interdependent: list[Offer]
+    queue: OptionQueue
     losses: Losses
-    to_evaluate: list[Room]
-    soon: dict[str, Resources] = field(default_factory=dict)
-    here: dict[str, int] = field(default_factory=dict)
+    stale_offers: list[Offer]
+    projected: dict[str, Resources] = field(default_factory=dict)
+    placed_counts: dict[str, int] = field(default_factory=dict)
     victims: list[Attempt] = field(default_factory=list)
-    doomed: set[int] = field(default_factory=set)
-    chosen: list[Room] = field(default_factory=list)
+    victim_ids: set[int] = field(default_factory=set)
+    chosen: list[Offer] = field(default_factory=list)
     costs: list[float] = field(default_factory=list)
     victim_counts: list[int] = field(default_factory=list)
-    has_doomed_lasting: bool = False
+    has_lasting_victims: bool = False
 
     @property
     def cost(self) -> float:
-        """The work lost by what was chosen so far."""
+        """The total work lost by the selection so far."""
         return self.costs[-1] if self.costs else 0.0
 
-    def extend(self, count: int, ceiling: float) -> None:
-        """Choose until there are `count` rooms, no more can be had, or `ceiling` is reached."""
-        while len(self.chosen) < count and self.cost < ceiling:
+    def extend(self, count: int, max_cost: float) -> None:
+        """Select options until `count` tasks fit, none is left, or the cost reaches `max_cost`."""
+        while len(self.chosen) < count and self.cost < max_cost:
             self._evaluate_changed()
-            entry = self.choices.take_cheapest()
+            entry = self.queue.take_cheapest()
             if entry is None:
                 return
-            cost, _, _, way, room, chain = entry
-            if chain is None:
-                self._apply(way, room)
-            self.victims += [loss.attempt for loss in way.losses]
+            cost, _, _, option, offer, executor_options = entry
+            if executor_options is None:
+                self._apply(option, offer)
+            self.victims += [loss.attempt for loss in option.losses]
             self.victim_counts.append(len(self.victims))
             self.costs.append(self.cost + cost)
-            self.chosen.append(room)
+            self.chosen.append(offer)
 
-    def room_soon(self, room: Room) -> Resources:
-        """Return what is left at an executor after what was chosen so far."""
-        return self.soon.get(room.state.id, room.soon)
+    def projected_at(self, offer: Offer) -> Resources:
+        """Return what is left on an executor after the selection so far."""
+        return self.projected.get(offer.state.id, offer.projected)
 
     def _evaluate_changed(self) -> None:
-        """Work out anew what it takes at the executors that the last choice has changed."""
-        limit = self.terms.spread_limit
-        for room in self.to_evaluate:
-            is_used_up = limit and self.here.get(room.state.id, 0) >= limit
-            self.choices.replace(room, None if is_used_up else self._find_way(room))
-        self.to_evaluate = []
-
-    def _find_way(self, room: Room) -> Way | None:
-        return find_way(room, self.terms, self.losses, self.room_soon(room), self.doomed)
-
-    def _apply(self, way: Way, room: Room) -> None:
-        """Note what a choice changes, here and where its gangs' members are."""
-        changed = {room.state.id: room}
-        for loss in way.losses:
-            self.has_doomed_lasting |= loss.is_lasting
+        """Recompute the options of the executors affected by the last selection."""
+        limit = self.criteria.spread_limit
+        for offer in self.stale_offers:
+            is_exhausted = limit and self.placed_counts.get(offer.state.id, 0) >= limit
+            self.queue.replace(offer, None if is_exhausted else self._find_option(offer))
+        self.stale_offers = []
+
+    def _find_option(self, offer: Offer) -> EvictionOption | None:
+        return find_option(
+            offer, self.criteria, self.losses, self.projected_at(offer), self.victim_ids
+        )
+
+    def _apply(self, option: EvictionOption, offer: Offer) -> None:
+        """Record the effects of an option on its executor and on those of its gangs' members."""
+        changed = {offer.state.id: offer}
+        for loss in option.losses:
+            self.has_lasting_victims |= loss.is_lasting
             for member in loss.members:
-                self.doomed.add(id(member))
-                other = self.scope.find_room(member.executor)
+                self.victim_ids.add(id(member))
+                other = self.scope.find_offer(member.executor)
                 if other is not None:
-                    self.soon[member.executor] = self.room_soon(other).plus(member.need)
+                    self.projected[member.executor] = self.projected_at(other).plus(member.need)
                     changed[member.executor] = other
-        here = room.state.id
-        self.soon[here] = self.room_soon(room).minus(self.terms.need)
-        self.here[here] = self.here.get(here, 0) + 1
-        self.to_evaluate = [*changed.values()]
-        if self.has_doomed_lasting:
-            self.to_evaluate += [r for r in self.unsettled if r.state.id not in changed]
-
-
-def begin_clearing(scope: Scope, terms: Terms, losses: Losses) -> Clearing:
-    """Return a search that has chosen nothing yet."""
-    racks = [find_rack_ways(part, terms, losses) for part in scope.parts]
-    unsettled = [room for ways in racks for room in ways.unsettled]
-    most = sum(ways.most for ways in racks)
-    return Clearing(scope, terms, most, unsettled, Choices(racks), losses, unsettled)
-
-
-def find_clearing(scope: Scope, terms: Terms, losses: Losses) -> Clearing:
-    """Return a search; in one rack the earlier one on the same terms if nothing has changed."""
+        here = offer.state.id
+        self.projected[here] = self.projected_at(offer).minus(self.criteria.need)
+        self.placed_counts[here] = self.placed_counts.get(here, 0) + 1
+        self.stale_offers = [*changed.values()]
+        if self.has_lasting_victims:
+            self.stale_offers += [
+                offer for offer in self.interdependent if offer.state.id not in changed
+            ]
+
+
+def begin_search(scope: Scope, criteria: SearchCriteria, losses: Losses) -> VictimSearch:
+    """Return a search with nothing selected yet."""
+    racks = [find_rack_options(rack_scope, criteria, losses) for rack_scope in scope.racks]
+    interdependent = [offer for options in racks for offer in options.interdependent]
+    upper_bound = sum(options.upper_bound for options in racks)
+    return VictimSearch(
+        scope, criteria, upper_bound, interdependent, OptionQueue(racks), losses, interdependent
+    )
+
+
+def find_search(scope: Scope, criteria: SearchCriteria, losses: Losses) -> VictimSearch:
+    """Return a search; for a rack the cached one for the same criteria if nothing has changed."""
     if not scope.is_rack:
-        return begin_clearing(scope, terms, losses)
+        return begin_search(scope, criteria, losses)
 
-    def begin(_: list[Room]) -> Clearing:
-        return begin_clearing(scope, terms, losses)
+    def begin(_: list[Offer]) -> VictimSearch:
+        return begin_search(scope, criteria, losses)
 
-    clearing = scope.keep(("clearing", terms), begin)
-    return begin_clearing(scope, terms, losses) if clearing.unsettled else clearing
+    search = scope.cached(("search", criteria), begin)
+    return begin_search(scope, criteria, losses) if search.interdependent else search
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/crashes.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/crashes.py
@@ -88,12 +88,12 @@
     return {run.task: Blame.SUSPECTED for run in runs if run.age_s < OLD_S}
 
 
-def began_lately(state: ExecutorState, now: float) -> bool:
+def has_recent_start(state: ExecutorState, now: float) -> bool:
     """Whether anything at an executor is so young that it would be suspected of a crash there."""
     return any(now - attempt.ordered_at <= YOUNG_S for attempt in state.attempts.values())
 
 
-def sum_at_stake(state: ExecutorState, now: float) -> float:
+def sum_work_at_risk(state: ExecutorState, now: float) -> float:
     """Return the core-seconds that a crash of an executor would cost."""
     return sum((now - a.ordered_at) * a.need.cores for a in state.attempts.values())
 
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/gangs.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/gangs.py
@@ -1,76 +1,80 @@
-"""Where gangs go: all members at once, in one rack where that matters, and room kept for them."""
+"""Gang placement: all members at once, with reservations for gangs that cannot start yet."""
 
 from __future__ import annotations
 
 from collections import Counter
 
-from .crashes import began_lately
+from .crashes import has_recent_start
 from .model import URGENT, Resources
 from .plan import Candidate
 from .policy import Policy
 from .progress import StepState, TaskState
-from .room import Room, Scope, count_fits, count_members, group_by_rack
+from .room import Offer, Scope, count_fits, count_free_now, group_by_rack
 
-SPREAD_PATIENCE_S = 1.5
-RESERVATIONS = 2
+SPREAD_WAIT_S = 1.5
+MAX_RESERVATIONS = 2
 SLOW_COST = 1e3
 SPREAD_COST = 1e6
-"""Added to what is left free in a rack, for each slow executor and for a gang over several
-racks: more than any rack has accelerators, so racks are compared by these first."""
+"""Added to the free accelerators left in a rack, per slow executor and for a gang over several
+racks; larger than any rack's accelerators, so these criteria dominate."""
 
 
-class Gangs:
+class GangPlacer:
     """Places the gangs of one plan."""
 
     def __init__(self, now: float, policy: Policy) -> None:
         self._now = now
         self._policy = policy
-        self._too_large: dict[tuple[object, ...], int] = {}
+        self._min_unplaceable: dict[tuple[object, ...], int] = {}
         self._reserved = 0
 
-    def prefer(self, room: Room) -> tuple[bool, int, int, int]:
-        """Sort sound executors first, and of those the fullest."""
+    def packing_order(self, offer: Offer) -> tuple[bool, int, int, int]:
+        """Return a sort key: healthy executors first, and of those the fullest."""
         return (
-            room.state.slow_until > self._now,
-            room.now.accelerators,
-            room.now.cpu,
-            room.number,
+            offer.state.slow_until > self._now,
+            offer.free.accelerators,
+            offer.free.cpu,
+            offer.number,
         )
 
     def place(
-        self, candidate: Candidate, usable: Scope, keeps_out: bool, held: Counter[str]
-    ) -> list[tuple[TaskState, Room]]:
-        """Take room for all members at once; nothing if they do not all fit.
+        self, candidate: Candidate, eligible: Scope, avoids_headroom: bool, held: Counter[str]
+    ) -> list[tuple[TaskState, Offer]]:
+        """Allocate capacity for all members at once, or for none if they do not all fit.
 
-        `keeps_out`: the headroom for urgent work is left out of `usable`; `held` counts the
-        step's runs that are still at executors.
+        `avoids_headroom` tells that `eligible` excludes the headroom for urgent work; `held`
+        counts the step's runs that each executor still holds.
         """
-        scopes = self.list_scopes(candidate, usable)
-        key = self._key(candidate, usable, scopes, keeps_out)
+        scopes = self.list_scopes(candidate, eligible)
+        key = self._key(candidate, eligible, scopes, avoids_headroom)
         count = len(candidate.tasks)
-        if count >= self._too_large.get(key, count + 1):
+        if count >= self._min_unplaceable.get(key, count + 1):
             return []
         avoided = self.list_avoided(candidate)
         best = None
         if candidate.step.has_suspects:
-            young = {r.state.id for r in usable.rooms if began_lately(r.state, self._now)}
-            best = self._best_fit(candidate, scopes, avoided | young, held)
+            recently_started = {
+                offer.state.id
+                for offer in eligible.offers
+                if has_recent_start(offer.state, self._now)
+            }
+            best = self._best_fit(candidate, scopes, avoided | recently_started, held)
         best = best or self._best_fit(candidate, scopes, avoided, held)
         if best is None:
             if not avoided and not held:
-                self._too_large[key] = count
+                self._min_unplaceable[key] = count
             return []
-        for room in best:
-            room.take(candidate.step.spec.need)
+        for offer in best:
+            offer.allocate(candidate.step.spec.need)
         return list(zip(candidate.tasks, best, strict=True))
 
     def _key(
-        self, candidate: Candidate, usable: Scope, scopes: list[Scope], keeps_out: bool
+        self, candidate: Candidate, eligible: Scope, scopes: list[Scope], avoids_headroom: bool
     ) -> tuple[object, ...]:
-        """Return what decides, beside a gang's size, where it may go in this plan.
+        """Return everything but a gang's size that determines where it fits in this plan.
 
-        What is free only shrinks while a plan is made, so where one did not fit, no larger
-        one with the same key does.
+        Free capacity only shrinks while a plan is made, so a gang does not fit if one with the
+        same key and no more members did not.
         """
         spec = candidate.step.spec
         return (
@@ -83,107 +87,106 @@
             spec.serves,
             spec.fills,
             candidate.queue.priority == URGENT,
-            keeps_out,
-            len(usable.rooms),
+            avoids_headroom,
+            len(eligible.offers),
             len(scopes),
             candidate.key if candidate.queue.approval else None,
-            candidate.named,
+            candidate.allowed_executors,
         )
 
-    def list_scopes(self, candidate: Candidate, usable: Scope) -> list[Scope]:
-        """Return the sets of executors that a gang may use, the preferred ones first."""
+    def list_scopes(self, candidate: Candidate, eligible: Scope) -> list[Scope]:
+        """Return the sets of executors that a gang may use, preferred ones first."""
         spec = candidate.step.spec
         if not spec.same_rack and not spec.data_rack:
-            return [usable]
-        scopes, others = usable.parts, list[Scope]()
+            return [eligible]
+        scopes, others = eligible.racks, list[Scope]()
         if spec.data_rack:
-            near = usable.find_part(spec.data_rack)
+            near = eligible.find_rack(spec.data_rack)
             scopes = [near] if near is not None else []
-            others = [part for part in usable.parts if part is not near]
-        possible = any(s.holds_when_empty(spec, len(candidate.tasks)) for s in scopes)
+            others = [rack_scope for rack_scope in eligible.racks if rack_scope is not near]
+        possible = any(s.fits_when_empty(spec, len(candidate.tasks)) for s in scopes)
         may_spread = (
-            candidate.waited_s(self._now) >= SPREAD_PATIENCE_S
-            and candidate.queue.priority == URGENT
+            candidate.waited_s(self._now) >= SPREAD_WAIT_S and candidate.queue.priority == URGENT
         )
-        return [*scopes, *others, usable] if may_spread or not possible else scopes
+        return [*scopes, *others, eligible] if may_spread or not possible else scopes
 
     def _best_fit(
         self, candidate: Candidate, scopes: list[Scope], avoided: set[str], held: Counter[str]
-    ) -> list[Room] | None:
-        """Return the rooms in the first scope that fits, or for one rack in the tightest one."""
+    ) -> list[Offer] | None:
+        """Return offers from the first scope that fits, or from the tightest for `same_rack`."""
         spec, wanted = candidate.step.spec, len(candidate.tasks)
         fitting = [s for s in scopes if s.count(spec.need) >= wanted]
         if not spec.same_rack:
             found = (self._fit_in_scope(candidate, scope, avoided, held) for scope in fitting)
             return next((chosen for chosen in found if chosen is not None), None)
-        left = [(float(s.free_accelerators()), place, s) for place, s in enumerate(fitting)]
-        best: tuple[float, int, list[Room]] | None = None
-        for least, place, scope in sorted(left, key=lambda entry: entry[:2]):
-            if best is not None and (least, place) >= best[:2]:
+        left = [(float(s.free_accelerators()), index, s) for index, s in enumerate(fitting)]
+        best: tuple[float, int, list[Offer]] | None = None
+        for least, index, scope in sorted(left, key=lambda entry: entry[:2]):
+            if best is not None and (least, index) >= best[:2]:
                 break
             chosen = self._fit_in_scope(candidate, scope, avoided, held)
             if chosen is None:
                 continue
-            cost = least + SLOW_COST * sum(r.state.slow_until > self._now for r in chosen)
+            cost = least + SLOW_COST * sum(offer.state.slow_until > self._now for offer in chosen)
             if len(scopes) > 1 and len(group_by_rack(chosen)) > 1:
                 cost += SPREAD_COST
-            if best is None or (cost, place) < best[:2]:
-                best = (cost, place, chosen)
+            if best is None or (cost, index) < best[:2]:
+                best = (cost, index, chosen)
         return best[2] if best else None
 
     def _fit_in_scope(
         self, candidate: Candidate, scope: Scope, avoided: set[str], held: Counter[str]
-    ) -> list[Room] | None:
-        """Return a room for each member, tightest first, or None; takes nothing."""
+    ) -> list[Offer] | None:
+        """Return an offer for each member, tightest first, or None; allocates nothing."""
         spec = candidate.step.spec
         wanted = len(candidate.tasks)
         fitting = scope.list_fitting(spec.need)
         if avoided:
-            fitting = [room for room in fitting if room.state.id not in avoided]
-        chosen: list[Room] = []
-        for room in sorted(fitting, key=self.prefer):
-            fits = _count_here(room, spec.need)
+            fitting = [offer for offer in fitting if offer.state.id not in avoided]
+        chosen: list[Offer] = []
+        for offer in sorted(fitting, key=self.packing_order):
+            fits = _count_fits_at(offer, spec.need)
             if spec.spread_limit:
-                fits = min(fits, max(0, spec.spread_limit - held[room.state.id]))
-            chosen += [room] * min(fits, wanted - len(chosen))
+                fits = min(fits, max(0, spec.spread_limit - held[offer.state.id]))
+            chosen += [offer] * min(fits, wanted - len(chosen))
             if len(chosen) == wanted:
                 return chosen
         return None
 
-    def reserve(self, candidate: Candidate, usable: Scope) -> None:
-        """Keep what is free in one rack for a gang that can't start yet."""
-        if self._reserved >= RESERVATIONS or not self._policy.reserve:
+    def reserve(self, candidate: Candidate, eligible: Scope) -> None:
+        """Reserve free capacity in one rack for a gang that cannot start yet."""
+        if self._reserved >= MAX_RESERVATIONS or not self._policy.reserve:
             return
         self._reserved += 1
         spec = candidate.step.spec
-        scopes = self.list_scopes(candidate, usable)
+        scopes = self.list_scopes(candidate, eligible)
         if not scopes:
             return
-        scope = self._chosen_scope(candidate.step, scopes)
+        scope = self._select_scope(candidate.step, scopes)
         left = len(candidate.tasks)
-        for room in sorted(scope.rooms, key=self._prefer_emptiest):
-            while left and spec.need.fits_in(room.state.executor.capacity):
-                if not room.fits(spec.need):
+        for offer in sorted(scope.offers, key=self._spreading_order):
+            while left and spec.need.fits_in(offer.state.executor.capacity):
+                if not offer.fits(spec.need):
                     break
-                room.reserve(spec.need)
+                offer.reserve(spec.need)
                 left -= 1
 
-    def _prefer_emptiest(self, room: Room) -> tuple[bool, int, int, int]:
-        """Sort in reverse of `prefer`, but for equal rooms, which stay in the plan's order."""
-        is_slow, accelerators, cpu, number = self.prefer(room)
+    def _spreading_order(self, offer: Offer) -> tuple[bool, int, int, int]:
+        """Return a sort key that reverses `packing_order`, but leaves ties in the plan's order."""
+        is_slow, accelerators, cpu, number = self.packing_order(offer)
         return (not is_slow, -accelerators, -cpu, number)
 
-    def _chosen_scope(self, step: StepState, scopes: list[Scope]) -> Scope:
-        """Return the scope chosen before, or the one with most room."""
+    def _select_scope(self, step: StepState, scopes: list[Scope]) -> Scope:
+        """Return the scope chosen by an earlier plan, or the one with most free capacity."""
         for scope in scopes:
-            if scope.rooms and scope.rooms[0].state.executor.rack == step.chosen_rack:
+            if scope.offers and scope.offers[0].state.executor.rack == step.chosen_rack:
                 return scope
-        best = max(scopes, key=lambda scope: count_members(scope.rooms, step.spec.need))
-        step.chosen_rack = best.rooms[0].state.executor.rack if best.rooms else None
+        best = max(scopes, key=lambda scope: count_free_now(scope.offers, step.spec.need))
+        step.chosen_rack = best.offers[0].state.executor.rack if best.offers else None
         return best
 
     def list_avoided(self, candidate: Candidate) -> set[str]:
-        """Return the executors that some task of a candidate is to avoid for now."""
+        """Return the executors that some task of a candidate avoids for now."""
         return {
             executor
             for task in candidate.tasks
@@ -192,6 +195,6 @@
         }
 
 
-def _count_here(room: Room, need: Resources) -> int:
-    """Return how many tasks fit at one executor without what was promised to others."""
-    return min(count_fits(need, room.now), count_fits(need, room.soon))
+def _count_fits_at(offer: Offer, need: Resources) -> int:
+    """Return how many tasks fit on one executor without capacity promised to others."""
+    return min(count_fits(need, offer.free), count_fits(need, offer.projected))
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/guarantee.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/guarantee.py
@@ -1,4 +1,4 @@
-"""Which urgent jobs lie within their tenants' guarantees."""
+"""Selection of the urgent jobs covered by their customers' guarantees."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 def find_guaranteed(jobs: list[JobState], desired: DesiredState, wall_now: float) -> set[str]:
-    """Return the urgent jobs that lie within their tenants' guarantees, oldest first."""
+    """Return the urgent jobs covered by their customers' guarantees, oldest jobs first."""
     left = {tenant.name: tenant.guaranteed for tenant in desired.tenants}
     found = set()
     urgent = [
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/headroom.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/headroom.py
@@ -1,70 +1,72 @@
-"""Room kept free for urgent work, so that it needn't wait until others have been stopped.
-
-Stopping others' work costs that work, and the urgent job the time of the stops.
-"""
+"""Capacity kept free for urgent work, so that it need not preempt other work first."""
 
 from __future__ import annotations
 
-from .room import Room, group_by_rack, weigh_millicores
+from .room import Offer, group_by_rack, weigh_millicores
 
 HEADROOM_SHARE = 0.4
 BUSY_SHARE = 0.6
 
 
 class Headroom:
-    """Chooses executors for as many accelerators as urgent work lately wanted beyond its use.
+    """Selects executors with the accelerators that urgent work recently needed beyond its current
+    use.
 
-    `peaks` is the most that urgent work wanted of late, by pool.
+    `peaks` is the highest recent demand of urgent work, by pool.
     """
 
-    def __init__(self, rooms: dict[str, list[Room]], peaks: dict[str, int]) -> None:
-        self._rooms = rooms
+    def __init__(self, offers: dict[str, list[Offer]], peaks: dict[str, int]) -> None:
+        self._offers = offers
         self._peaks = peaks
         self._weights: dict[str, tuple[int, int]] = {}
 
     def choose(self, used: dict[str, int]) -> frozenset[str]:
-        """Return the executors to leave alone, given what urgent work holds by pool."""
+        """Return the executors to keep free, given the accelerators urgent work holds by pool."""
         chosen: list[str] = []
-        for pool, rooms in self._rooms.items():
-            chosen += self._choose_in_pool(rooms, self._peaks.get(pool, 0) - used.get(pool, 0))
+        for pool, offers in self._offers.items():
+            chosen += self._choose_in_pool(offers, self._peaks.get(pool, 0) - used.get(pool, 0))
         return frozenset(chosen)
 
-    def _choose_in_pool(self, rooms: list[Room], missing: int) -> list[str]:
-        """Choose the emptiest executors, rack by rack: urgent gangs are to share one."""
-        total = sum(room.state.executor.capacity.accelerators for room in rooms)
+    def _choose_in_pool(self, offers: list[Offer], missing: int) -> list[str]:
+        """Select the emptiest executors, rack by rack, as urgent gangs should fit in one rack."""
+        total = sum(offer.state.executor.capacity.accelerators for offer in offers)
         wanted = min(missing, int(total * HEADROOM_SHARE))
         chosen = []
-        for room in _list_emptiest(rooms):
+        for offer in _list_emptiest(offers):
             if wanted <= 0:
                 break
-            chosen.append(room.state.id)
-            wanted -= max(0, room.soon.accelerators)
+            chosen.append(offer.state.id)
+            wanted -= max(0, offer.projected.accelerators)
         return chosen
 
     def is_mostly_idle(self, pool: str) -> bool:
         """Whether less than `BUSY_SHARE` of a pool is in use."""
-        rooms = self._rooms.get(pool, [])
-        if not rooms:
+        offers = self._offers.get(pool, [])
+        if not offers:
             return False
         if pool not in self._weights:
-            total = sum(weigh_millicores(room.state.executor.capacity) for room in rooms)
-            free = sum(weigh_millicores(room.state.free) for room in rooms)
+            total = sum(weigh_millicores(offer.state.executor.capacity) for offer in offers)
+            free = sum(weigh_millicores(offer.state.free) for offer in offers)
             self._weights[pool] = (total, total - free)
         total, used = self._weights[pool]
-        whole = rooms[0].changes.whole
-        assert whole is not None, "a rack is part of its pool"
-        return used + whole.millicores_taken < BUSY_SHARE * total
+        pool_changes = offers[0].changes.parent
+        assert pool_changes is not None, "a rack is part of its pool"
+        return used + pool_changes.millicores_allocated < BUSY_SHARE * total
 
 
-def _list_emptiest(rooms: list[Room]) -> list[Room]:
-    racks = group_by_rack(rooms).values()
-    by_room = sorted(racks, key=_free_accelerators, reverse=True)
-    return [room for rack in by_room for room in sorted(rack, key=_free_here, reverse=True)]
+def _list_emptiest(offers: list[Offer]) -> list[Offer]:
+    racks = group_by_rack(offers).values()
+    by_free_accelerators = sorted(racks, key=_free_accelerators, reverse=True)
+    return [
+        offer
+        for rack in by_free_accelerators
+        for offer in sorted(rack, key=_projected_accelerators, reverse=True)
+    ]
 
 
-def _free_here(room: Room) -> int:
-    return room.soon.accelerators
+def _projected_accelerators(offer: Offer) -> int:
+    return offer.projected.accelerators
 
 
-def _free_accelerators(rooms: list[Room]) -> int:
-    return sum(max(0, _free_here(room)) for room in rooms)
+def _free_accelerators(offers: list[Offer]) -> int:
+    return sum(max(0, _projected_accelerators(offer)) for offer in offers)
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/losses.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/losses.py
@@ -1,4 +1,4 @@
-"""What is lost when attempts are stopped, by executor and the least first."""
+"""The work lost when attempts are stopped, by executor, smallest loss first."""
 
 from __future__ import annotations
 
@@ -7,22 +7,22 @@
 
 from .model import NOTHING, URGENT, DesiredState, Resources
 from .progress import Attempt, JobState, Phase
-from .room import Room
-from .sharing import may_be_taken_away
+from .room import Offer
+from .sharing import is_within_disruption_budget
 
 URGENT_LOSS_FACTOR = 6.0
-URGENT_LEAST_LOSS = 10.0
-LEAST_LOSS = 0.01
-"""Core-seconds that any stop costs, so that of two ways the one with fewer stops is taken."""
+URGENT_MIN_LOSS_CORE_S = 10.0
+MIN_LOSS_CORE_S = 0.01
+"""Cost of any stop, so that of two equal choices the one with fewer stops wins."""
 CHECKPOINT_LOSS_S = 0.3
-"""Work since the last checkpoint that a stop loses; a stop makes a checkpoint of its own."""
+"""Work lost since the last checkpoint; a stop triggers a checkpoint of its own."""
 
 
 @dataclass(frozen=True, slots=True)
 class Loss:
-    """An attempt that may be stopped, and the work that is lost with its whole gang.
+    """An attempt that may be stopped, and the work lost with its whole gang.
 
-    `members` is the gang, the attempt among it; an attempt of no gang is its only member.
+    `members` holds the attempts of the gang, or only this attempt outside a gang.
     """
 
     core_seconds: float
@@ -33,37 +33,37 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ladder:
-    """What may be stopped at one executor, the least loss first.
+class CumulativeLosses:
+    """The attempts that may be stopped on one executor, smallest loss first, with running totals.
 
-    With the first n `losses` stopped, `costs[n - 1]` core-seconds are lost and `freed[n - 1]`
-    comes free. `total` is the room of all that may be stopped. With `concerns_others`, stops
-    here change what can be had elsewhere, or those elsewhere what can be had here; with
-    `has_lasting` they may forbid each other.
+    Stopping the first n `losses` costs `costs[n - 1]` core-seconds and frees `freed[n - 1]`.
+    `total` is freed by stopping all of them. With `affects_others`, stops here change the options
+    on other executors or the reverse; with `has_lasting`, disruption budgets may forbid some
+    combinations of stops.
     """
 
     losses: list[Loss]
     costs: list[float]
     freed: list[Resources]
     total: Resources
-    concerns_others: bool
+    affects_others: bool
     has_lasting: bool
 
-    def find_way(self, need: Resources, soon: Resources) -> tuple[float, list[Loss]] | None:
-        """Return the work lost and what is stopped until a task fits, None if it never does."""
-        lacking = need.minus(soon)
+    def find_option(self, need: Resources, projected: Resources) -> tuple[float, list[Loss]] | None:
+        """Return the cost and the attempts to stop until a task fits, None if it never does."""
+        lacking = need.minus(projected)
         if lacking.fits_in(NOTHING):
             return 0.0, []
-        for place, freed in enumerate(self.freed):
+        for index, freed in enumerate(self.freed):
             if lacking.fits_in(freed):
-                return self.costs[place], self.losses[: place + 1]
+                return self.costs[index], self.losses[: index + 1]
         return None
 
 
 class Losses:
-    """The losses of one plan; `stopped` are the ids of the attempts that it stops already.
+    """The losses of one plan; `stopped` holds the ids of the attempts it stops already.
 
-    What ends by itself within `wait_s` is not stopped but waited for.
+    Attempts that end by themselves within `wait_s` are waited for rather than stopped.
     """
 
     def __init__(
@@ -81,128 +81,137 @@
         self._now = now
         self._stopped = stopped
         self._wait_s = wait_s
-        self._known: dict[str, list[Loss]] = {}
-        self._of_gang: dict[int, Loss] = {}
-        self._ladders: dict[tuple[bool, bool, str], tuple[int, Ladder]] = {}
-        self._ending: dict[str, list[Attempt]] = {}
-        self._sharing: dict[str, bool] = {}
+        self._losses_by_executor: dict[str, list[Loss]] = {}
+        self._losses_by_member: dict[int, Loss] = {}
+        self._cumulative: dict[tuple[bool, bool, str], tuple[int, CumulativeLosses]] = {}
+        self._ending_soon: dict[str, list[Attempt]] = {}
+        self._remote_members: dict[str, bool] = {}
 
-    def list_takeable(self, guaranteed: bool, room: Room) -> list[Loss]:
-        """Return what may be stopped at an executor, the least loss first.
+    def list_evictable(self, guaranteed: bool, offer: Offer) -> list[Loss]:
+        """Return what may be stopped on an executor, smallest loss first.
 
-        For a job within its customer's guarantee that is also other customers' urgent work.
+        For a job within its customer's guarantee this includes other customers' urgent work.
         """
-        known = self._list_all(room)
+        known = self._list_all(offer)
         if not guaranteed:
             known = [loss for loss in known if not loss.is_urgent]
-        if room.stops:
+        if offer.stops:
             known = [loss for loss in known if id(loss.attempt) not in self._stopped]
         return known
 
-    def find_ladder(self, guaranteed: bool, waits: bool, room: Room) -> Ladder:
-        """Return what may be stopped at an executor, summed up.
+    def find_cumulative(
+        self, guaranteed: bool, waits_for_ends: bool, offer: Offer
+    ) -> CumulativeLosses:
+        """Return what may be stopped on an executor, with running totals.
 
-        With `waits` that is beside what ends by itself.
+        With `waits_for_ends`, attempts that end soon by themselves are left out.
         """
-        waits = waits and bool(self.list_ending(room))
-        key = (guaranteed and self._holds_urgent(room), waits, room.state.id)
-        known = self._ladders.get(key)
-        if known is None or known[0] != room.stops:
-            known = self._ladders[key] = (room.stops, self._make_ladder(key[0], waits, room))
+        waits_for_ends = waits_for_ends and bool(self.list_ending_soon(offer))
+        key = (guaranteed and self._holds_urgent(offer), waits_for_ends, offer.state.id)
+        known = self._cumulative.get(key)
+        if known is None or known[0] != offer.stops:
+            known = self._cumulative[key] = (
+                offer.stops,
+                self._make_cumulative(key[0], waits_for_ends, offer),
+            )
         return known[1]
 
-    def _holds_urgent(self, room: Room) -> bool:
-        """Whether a guarantee makes a difference to what may be stopped at an executor."""
-        return any(loss.is_urgent for loss in self._list_all(room))
+    def _holds_urgent(self, offer: Offer) -> bool:
+        """Whether a guarantee makes a difference to what may be stopped on an executor."""
+        return any(loss.is_urgent for loss in self._list_all(offer))
 
-    def _list_all(self, room: Room) -> list[Loss]:
-        """Return the losses at an executor, also of urgent work and of what the plan stops."""
-        known = self._known.get(room.state.id)
+    def _list_all(self, offer: Offer) -> list[Loss]:
+        """Return all losses on an executor, including those of attempts already being stopped."""
+        known = self._losses_by_executor.get(offer.state.id)
         if known is None:
-            found = (self._find_loss(attempt) for attempt in room.state.attempts.values())
+            found = (self._find_loss(attempt) for attempt in offer.state.attempts.values())
             known = [loss for loss in found if loss is not None]
             known.sort(key=lambda loss: loss.core_seconds)
-            self._known[room.state.id] = known
+            self._losses_by_executor[offer.state.id] = known
         return known
 
-    def _make_ladder(self, guaranteed: bool, waits: bool, room: Room) -> Ladder:
+    def _make_cumulative(
+        self, guaranteed: bool, waits_for_ends: bool, offer: Offer
+    ) -> CumulativeLosses:
         losses: list[Loss] = []
         costs: list[float] = []
         freed: list[Resources] = []
-        cost, room_freed, total = 0.0, NOTHING, NOTHING
+        cost, executor_freed, total = 0.0, NOTHING, NOTHING
         has_lasting = False
-        away: set[int] = set()
-        ending = self.find_ending(room) if waits else frozenset()
-        for loss in self.list_takeable(guaranteed, room):
+        evicted: set[int] = set()
+        ending = self.find_ending_soon(offer) if waits_for_ends else frozenset()
+        for loss in self.list_evictable(guaranteed, offer):
             need = loss.attempt.need
             has_lasting |= loss.is_lasting
             if id(loss.attempt) in ending:
                 continue
             total = total.plus(need)
-            if id(loss.attempt) in away:
+            if id(loss.attempt) in evicted:
                 continue
             cost += loss.core_seconds
             if len(loss.members) == 1:
-                room_freed = room_freed.plus(need)
+                executor_freed = executor_freed.plus(need)
             else:
                 for member in loss.members:
-                    away.add(id(member))
-                    if member.executor == room.state.id and id(member) not in ending:
-                        room_freed = room_freed.plus(member.need)
+                    evicted.add(id(member))
+                    if member.executor == offer.state.id and id(member) not in ending:
+                        executor_freed = executor_freed.plus(member.need)
             losses.append(loss)
             costs.append(cost)
-            freed.append(room_freed)
-        concerns = has_lasting or self._shares_gangs(room)
-        return Ladder(losses, costs, freed, total, concerns, has_lasting)
-
-    def _shares_gangs(self, room: Room) -> bool:
-        """Whether a gang with a member at an executor has other members elsewhere."""
-        here = room.state.id
-        if here not in self._sharing:
-            gangs = [self.whole_gang(attempt) for attempt in room.state.attempts.values()]
-            self._sharing[here] = any(
-                member.executor != here for members in gangs for member in members
+            freed.append(executor_freed)
+        affects_others = has_lasting or self._has_remote_members(offer)
+        return CumulativeLosses(losses, costs, freed, total, affects_others, has_lasting)
+
+    def _has_remote_members(self, offer: Offer) -> bool:
+        """Whether a gang with a member on an executor has other members elsewhere."""
+        executor = offer.state.id
+        if executor not in self._remote_members:
+            gangs = [self.whole_gang(attempt) for attempt in offer.state.attempts.values()]
+            self._remote_members[executor] = any(
+                member.executor != executor for members in gangs for member in members
             )
-        return self._sharing[here]
+        return self._remote_members[executor]
 
-    def list_ending(self, room: Room) -> list[Attempt]:
-        """Return what will have ended by itself in so short a time that it is waited for."""
-        executor = room.state.id
-        if executor not in self._ending:
-            self._ending[executor] = [
+    def list_ending_soon(self, offer: Offer) -> list[Attempt]:
+        """Return the attempts on an executor expected to end within `wait_s`."""
+        executor = offer.state.id
+        if executor not in self._ending_soon:
+            self._ending_soon[executor] = [
                 attempt
-                for attempt in room.state.attempts.values()
+                for attempt in offer.state.attempts.values()
                 if attempt.phase is Phase.RUNNING
                 and expected_end_s(attempt, self._now) <= self._wait_s
             ]
-        return self._ending[executor]
+        return self._ending_soon[executor]
 
-    def find_ending(self, room: Room, doomed: Container[int] = frozenset()) -> frozenset[int]:
-        """Return the ids of what ends by itself and isn't stopped, nor `doomed` to be."""
-        ending = (id(attempt) for attempt in self.list_ending(room))
-        return frozenset(i for i in ending if i not in doomed and i not in self._stopped)
+    def find_ending_soon(
+        self, offer: Offer, victim_ids: Container[int] = frozenset()
+    ) -> frozenset[int]:
+        """Return the ids of attempts that end soon and are neither stopped nor in `victim_ids`."""
+        ending = (id(attempt) for attempt in self.list_ending_soon(offer))
+        return frozenset(i for i in ending if i not in victim_ids and i not in self._stopped)
 
-    def add_ending(
-        self, room: Room, soon: Resources, doomed: Container[int] = frozenset()
+    def add_ending_soon(
+        self, offer: Offer, projected: Resources, victim_ids: Container[int] = frozenset()
     ) -> Resources:
-        """Add the room of what ends by itself and isn't stopped.
+        """Add the resources of attempts that end soon by themselves.
 
-        The room of what is stopped is in `soon` already, however soon it would have ended.
+        `projected` already includes those of stopped attempts.
         """
-        for attempt in self.list_ending(room):
-            if id(attempt) not in doomed and id(attempt) not in self._stopped:
-                soon = soon.plus(attempt.need)
-        return soon
+        for attempt in self.list_ending_soon(offer):
+            if id(attempt) not in victim_ids and id(attempt) not in self._stopped:
+                projected = projected.plus(attempt.need)
+        return projected
 
-    def may_be_away(self, attempt: Attempt, doomed: Iterable[int] = ()) -> bool:
-        """Whether a lasting task may be taken away beside `doomed` and what is stopped."""
+    def may_disrupt(self, attempt: Attempt, victim_ids: Iterable[int] = ()) -> bool:
+        """Whether a lasting task's disruption budget allows one more stop beside `victim_ids`."""
         job = self._jobs.get(attempt.task.job)
         if job is None:
             return False
         step = job.step_of(attempt.task)
         if not step.spec.lasting:
             return True
-        return may_be_taken_away(step, self._stopped.union(doomed))
+        return is_within_disruption_budget(step, self._stopped.union(victim_ids))
 
     def whole_gang(self, attempt: Attempt) -> list[Attempt]:
         """Return an attempt with the other members of its gang."""
@@ -215,10 +224,10 @@
         return step.attempts()
 
     def _find_loss(self, attempt: Attempt) -> Loss | None:
-        """Return what is lost when an attempt is stopped now; None if it may not be."""
+        """Return the loss of stopping an attempt now; None if it must not be stopped."""
         if attempt.phase is Phase.STOPPING:
             return None
-        known = self._of_gang.get(id(attempt))
+        known = self._losses_by_member.get(id(attempt))
         if known is not None:
             return known
         job = self._jobs.get(attempt.task.job)
@@ -229,18 +238,18 @@
         total = self._sum_loss(members, spec.checkpointing)
         is_urgent = self._desired.current_queue(job.spec).priority == URGENT
         if is_urgent:
-            # Urgent work is late if it has to start anew.
-            total = (total + URGENT_LEAST_LOSS) * URGENT_LOSS_FACTOR
+            # Urgent work that has to restart is likely to be late.
+            total = (total + URGENT_MIN_LOSS_CORE_S) * URGENT_LOSS_FACTOR
         if len(members) == 1:
             return Loss(total, attempt, members, is_urgent, spec.lasting)
         for member in members:
             loss = Loss(total, member, members, is_urgent, spec.lasting)
-            self._of_gang[id(member)] = loss
-        return self._of_gang[id(attempt)]
+            self._losses_by_member[id(member)] = loss
+        return self._losses_by_member[id(attempt)]
 
     def _sum_loss(self, attempts: list[Attempt], checkpoints: bool) -> float:
-        """Return the core-seconds of attempts since they began, or since their checkpoints."""
-        total = LEAST_LOSS
+        """Return the core-seconds of work since the attempts began, or since their checkpoints."""
+        total = MIN_LOSS_CORE_S
         for member in attempts:
             elapsed = max(0.0, self._now - (member.began_at or member.ordered_at))
             if checkpoints:
@@ -250,7 +259,7 @@
 
 
 def expected_end_s(attempt: Attempt, now: float) -> float:
-    """Return in how many seconds an attempt ends if it gets on as it did so far."""
+    """Return the time in seconds until an attempt ends at its average speed so far."""
     gained = attempt.percent - attempt.began_percent
     if gained <= 0 or attempt.began_at is None:
         return float("inf")
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/model.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/model.py
@@ -1,4 +1,4 @@
-"""What callers ask for and what executors offer, as plain values."""
+"""Value types for jobs, executors and configuration."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 
 
 class Resources(NamedTuple):
-    """Processors in thousandths of a core, memory in MB, whole accelerators."""
+    """CPU in thousandths of a core, memory in MB, and whole accelerators."""
 
     cpu: int = 0
     memory_mb: int = 0
     accelerators: int = 0
 
-    def fits_in(self, room: Resources) -> bool:
-        """Whether `room` has at least this much of everything."""
-        return self[0] <= room[0] and self[1] <= room[1] and self[2] <= room[2]
+    def fits_in(self, available: Resources) -> bool:
+        """Whether `available` has at least this much of each resource."""
+        return self[0] <= available[0] and self[1] <= available[1] and self[2] <= available[2]
 
     def plus(self, other: Resources) -> Resources:
         """Return the sum."""
@@ -36,15 +36,15 @@
 
 
 _make = tuple.__new__
-"""Makes a tuple of three in half the time of the named tuple's own way; a plan makes 70,000."""
+"""Bypasses the named tuple's slower constructor, as a plan creates tens of thousands of tuples."""
 
 NOTHING = Resources()
 
 
 class TaskKey(NamedTuple):
-    """One task of one job; it keeps its name over all of its attempts.
+    """Identifies one task of one job across all of its attempts.
 
-    `occurrence` counts the times of a scheduled job, from 0.
+    `occurrence` counts the occurrences of a scheduled job, from 0.
     """
 
     job: str
@@ -54,7 +54,7 @@
 
 
 class OpenStart(NamedTuple):
-    """A start of one of a job's tasks that may have had no answer, by the executor's id."""
+    """A start of a job's task that may be unanswered, with the executor's id."""
 
     executor: str
     step: int
@@ -64,16 +64,16 @@
 
 @dataclass(frozen=True, slots=True)
 class StepSpec:
-    """`count` equal tasks that become ready once all steps in `after` are done.
+    """A step of `count` equal tasks, ready once all steps in `after` are done.
 
-    A `gang` works only while all of its tasks are there. `same_rack` and `data_rack` cost
-    speed when not met; `label` and `spread_limit` (tasks for each executor, 0 for any
-    number) must be met. `estimate_s` is the caller's guess of one task's time.
+    The tasks of a `gang` only make progress while all of them run. Violating `same_rack` or
+    `data_rack` only costs speed, while `label` and `spread_limit` (tasks per executor, 0 for no
+    limit) are hard constraints. `estimate_s` is the caller's estimate of a task's duration.
 
-    `lasting` tasks run until the job is cancelled. Those that serve users of their own have a
-    `target_s` for their answers; those that `fill` use what others leave unused, so their
-    processors take no room, and disturb the ones that serve. `may_miss` bounds how many tasks
-    of the step the system may take away at once; 0 for any number.
+    `lasting` tasks run until the job is cancelled. Among them, serving tasks have a `target_s` for
+    the latency of their responses. Best-effort tasks, marked by `fills`, use idle CPU: theirs is
+    not counted as used, and they slow serving tasks on the same executor. `may_miss` limits how
+    many tasks of the step the scheduler may stop at once; 0 for no limit.
     """
 
     count: int
@@ -93,15 +93,15 @@
 
     @property
     def serves(self) -> bool:
-        """Whether its tasks answer users of their own, and want no disturbance."""
+        """Whether its tasks serve requests and must not share executors with best-effort tasks."""
         return self.target_s > 0
 
 
 @dataclass(frozen=True, slots=True)
 class ApprovalTerms:
-    """A service says which executors may run a step.
+    """The terms of the service that approves executors for steps.
 
-    It takes `decision_s`, and `each_s` for each executor named; a ticket holds `validity_s`.
+    It takes `decision_s`, plus `each_s` per executor named; a ticket is valid for `validity_s`.
     """
 
     decision_s: float
@@ -111,11 +111,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Queue:
-    """Where jobs of one kind enter, and how they are to be treated.
+    """An entry point for jobs of one kind, with their scheduling parameters.
 
-    A job is on time within `stretch` times its longest chain plus `target_s`.
-    Priority 0 comes first and may take capacity back from the others. With `approval` only
-    some executors may run a step, and each start brings a ticket.
+    A job is on time within `stretch` times its longest chain of steps plus `target_s`. Priority 0
+    is urgent and may preempt the others. With `approval`, only approved executors may run a step,
+    and each start carries a ticket.
     """
 
     name: str
@@ -132,23 +132,23 @@
 
 @dataclass(frozen=True, slots=True)
 class Schedule:
-    """A job's steps run `count` times; the first is due at `first_at` (s since the epoch)."""
+    """Runs a job's steps `count` times; the first is due at `first_at` (s since the epoch)."""
 
     count: int
     first_at: float
     interval_s: float
 
     def due_at(self, occurrence: int) -> float:
-        """Return when one of the times is due, in seconds since the epoch."""
+        """Return when an occurrence is due, in seconds since the epoch."""
         return self.first_at + occurrence * self.interval_s
 
 
 @dataclass(frozen=True, slots=True)
 class JobSpec:
-    """One accepted job; `accepted_at` is in seconds since the epoch.
+    """An accepted job; `accepted_at` is in seconds since the epoch.
 
-    `queue` is the queue as it was then; it counts when no newer configuration has it.
-    Without a `schedule` the steps run once, from now on.
+    `queue` is a copy of the queue at acceptance, used if the current configuration has no queue of
+    that name. Without a `schedule` the steps run once, immediately.
     """
 
     id: str
@@ -161,13 +161,13 @@
 
     @property
     def occurrences(self) -> int:
-        """How many times the steps run."""
+        """The number of times the steps run."""
         return self.schedule.count if self.schedule else 1
 
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
-    """A customer: its keys, and the accelerators that are its own for urgent jobs."""
+    """A customer: its API keys, and the accelerators guaranteed to its urgent jobs."""
 
     name: str
     keys: tuple[str, ...]
@@ -176,9 +176,9 @@
 
 @dataclass(frozen=True, slots=True)
 class DesiredState:
-    """One whole configuration; versions only rise.
+    """A complete configuration; versions only increase.
 
-    `pools` are those that it names, whether or not a queue sends work there.
+    `pools` also includes pools to which no queue sends work.
     """
 
     version: int
@@ -223,13 +223,13 @@
         )
 
     def current_queue(self, job: JobSpec) -> Queue:
-        """Return a job's queue as it is now, or as it was when the job was accepted."""
+        """Return a job's queue as currently configured, or as it was when the job was accepted."""
         return self.by_name.get(job.queue.name, job.queue)
 
     def find_queue(self, host: str, path: str) -> Queue | None:
-        """Return the queue of the longest prefix that begins a path.
+        """Return the queue with the longest prefix of a path.
 
-        One look-up for each length that a prefix of the host has, however many queues it has.
+        Takes one lookup for each distinct prefix length of the host.
         """
         prefixes = self._by_prefix.get(host, {})
         for length in self._lengths.get(host, ()):
@@ -240,9 +240,10 @@
 
 
 class Life(NamedTuple):
-    """One life of an executor: its id, under which it may start again, and its start (Unix ms).
+    """Identifies one run of an executor process: its id and its start time (Unix ms).
 
-    `born` is 0 where it is not known: in records of earlier versions, or where nobody says it.
+    A restarted executor may reuse its id. `born` is 0 where it is unknown, such as in records of
+    earlier versions.
     """
 
     id: str
@@ -251,10 +252,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Executor:
-    """One life of an executor; a new life may have the same id.
+    """One life of an executor; a later life may have the same id.
 
-    `leaves_in_s` is the least time until it leaves, None while it is not draining; `born` is its
-    start in Unix ms, 0 where that is not known.
+    `leaves_in_s` is the least time until it leaves, None if it is not draining; `born` is its
+    start time in Unix ms, 0 if unknown.
     """
 
     id: str
@@ -269,10 +270,10 @@
 
     @property
     def life(self) -> Life:
-        """What names this life among all that the id has had."""
+        """The identifier of this life among all lives of the same id."""
         return Life(self.id, self.born)
 
     @property
     def is_draining(self) -> bool:
-        """Whether it takes no new work."""
+        """Whether it accepts no new work."""
         return self.leaves_in_s is not None
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/order.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/order.py
@@ -1,7 +1,7 @@
-"""Whose turn it is while there is too little room, and who may have others' work taken back.
+"""The order in which waiting steps are planned, and which of them may preempt others.
 
-The load this answers: bursts of urgent gangs on a pool that other work fills, so that for some
-time more is asked for than there is room. Whoever comes first decides what is late and lost then.
+Matters while demand exceeds capacity, for example when bursts of urgent gangs arrive at a full
+pool.
 """
 
 from __future__ import annotations
@@ -14,15 +14,16 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Turn:
-    """A step's place in the order (smaller first) and when it must start to be on time.
+class StepRank:
+    """A step's place in the planning order and its latest start to be on time.
 
-    `may_take_back`: others' work may be stopped for it.
+    Smaller sort keys come first. With `may_preempt` other jobs' attempts may be stopped for the
+    step.
     """
 
-    order: tuple[float, ...]
-    latest: float
-    may_take_back: bool
+    sort_key: tuple[float, ...]
+    latest_start: float
+    may_preempt: bool
 
 
 def rank_step(
@@ -33,22 +34,24 @@
     now: float,
     wall_now: float,
     policy: Policy,
-) -> Turn:
-    """Return a step's turn; times are on trio's clock, `wall_now` in seconds since the epoch.
-
-    Urgent work comes first, within a customer's guarantee before other. With `hopeless_last` it
-    loses that past the last moment at which it is of any worth, as more work would be stopped for
-    nothing; a guarantee holds whatever the time is. On four days with hosts and faults more work
-    was thrown away with it (455,000 to 504,000 core-seconds), not less as on the modelled pool, so
-    it is off.
+) -> StepRank:
+    """Return a step's rank; times are on trio's clock, `wall_now` in seconds since the epoch.
+
+    Urgent work comes first, and within it work covered by a customer's guarantee. With
+    `hopeless_last`, urgent work outside a guarantee loses this priority once it can no longer end
+    in time to be useful.
     """
-    latest, last_useful = latest_starts(job, step, queue, now, wall_now)
-    first = 0 if is_guaranteed else 1
-    is_hopeless = policy.hopeless_last and last_useful < now and not is_guaranteed
-    if queue.priority == URGENT and not is_hopeless:
-        return Turn((0, first, latest < now, queue.priority, latest), latest, True)
+    latest_start, last_useful = latest_starts(job, step, queue, now, wall_now)
+    guarantee_rank = 0 if is_guaranteed else 1
+    is_worthless = policy.hopeless_last and last_useful < now and not is_guaranteed
+    if queue.priority == URGENT and not is_worthless:
+        return StepRank(
+            (0, guarantee_rank, latest_start < now, queue.priority, latest_start),
+            latest_start,
+            True,
+        )
     if step.spec.fills:
-        return Turn((2, queue.priority, latest), latest, False)
-    lateness = (latest < now) + (last_useful < now)
-    due = last_useful if lateness else latest
-    return Turn((1, lateness, first, queue.priority, due), latest, False)
+        return StepRank((2, queue.priority, latest_start), latest_start, False)
+    lateness = (latest_start < now) + (last_useful < now)
+    due = last_useful if lateness else latest_start
+    return StepRank((1, lateness, guarantee_rank, queue.priority, due), latest_start, False)
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/peaks.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/peaks.py
@@ -1,4 +1,4 @@
-"""The largest of recent readings."""
+"""Recent maxima of measured values."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 
 @dataclass(slots=True)
 class RecentPeaks:
-    """Readings by name, kept for `window_s` seconds; only those that may still be a peak."""
+    """Keeps values by name for `window_s` seconds, as far as they may still become the maximum."""
 
     window_s: float
     _readings: dict[str, deque[tuple[float, int]]] = field(default_factory=dict)
 
     def note(self, now: float, values: dict[str, int]) -> None:
-        """Add one reading of each name."""
+        """Add one value for each name."""
         for name, value in values.items():
             readings = self._readings.setdefault(name, deque())
             while readings and readings[-1][1] <= value:
@@ -22,7 +22,7 @@
             readings.append((now, value))
 
     def peaks(self, now: float) -> dict[str, int]:
-        """Return the largest reading of each name within the window."""
+        """Return the maximum of each name within the window."""
         found = {}
         for name, readings in self._readings.items():
             while readings and readings[0][0] < now - self.window_s:
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/plan.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/plan.py
@@ -1,4 +1,4 @@
-"""What a plan is made of: steps that have tasks to start, starts, and what is taken back."""
+"""The parts of a plan: candidate steps, starts and attempts to stop."""
 
 from __future__ import annotations
 
@@ -7,13 +7,13 @@
 from .approval import Question
 from .fleet import ExecutorState
 from .model import Queue, TaskKey
-from .order import Turn
+from .order import StepRank
 from .progress import Attempt, JobState, StepState, TaskState
 
 
 @dataclass(frozen=True, slots=True)
 class Start:
-    """A run of a task to be started at an executor."""
+    """A run of a task to start on an executor."""
 
     job: JobState
     step: StepState
@@ -23,7 +23,7 @@
 
 @dataclass(slots=True)
 class Plan:
-    """Starts in groups (a gang is one group), attempts to take back, and approvals to ask for."""
+    """Starts in groups (a gang is one group), attempts to stop, and approvals to request."""
 
     groups: list[list[Start]] = field(default_factory=list)
     stops: list[Attempt] = field(default_factory=list)
@@ -33,10 +33,11 @@
 
 @dataclass(slots=True, eq=False)
 class Candidate:
-    """A step that has tasks to start, with its turn.
+    """A step with tasks to start, and its rank.
 
-    `named` are the only executors that may be used, None if all may: those that the store names for
-    the job, while it can name no others. `pins` names the only executor for some tasks, by index.
+    `allowed_executors` is set while the store can record no further executors for the job: only
+    those already recorded may run it. None allows any executor. `pins` maps task indexes to the
+    only executor that may run them.
     """
 
     job: JobState
@@ -44,15 +45,15 @@
     queue: Queue
     tasks: list[TaskState]
     guaranteed: bool
-    turn: Turn
-    named: frozenset[str] | None = None
+    rank: StepRank
+    allowed_executors: frozenset[str] | None = None
     pins: dict[int, str] = field(default_factory=dict)
 
     @property
     def key(self) -> TaskKey:
-        """The key of the step's first task, which names the step."""
+        """The key of the step's first task, which identifies the step."""
         return self.job.key_of(self.step, self.step.tasks[0])
 
     def waited_s(self, now: float) -> float:
-        """Return the time since the step's turn came."""
+        """Return the time since the step became ready."""
         return 0.0 if self.step.ready_at is None else now - self.step.ready_at
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/planner.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/planner.py
@@ -1,4 +1,4 @@
-"""Which tasks start where, and which attempts are taken back for urgent work."""
+"""Decides which tasks start on which executors and which attempts urgent work preempts."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 
 import trio
 
-from .approval import LARGEST_QUESTION, USUAL_QUESTION, Approvals, Question
+from .approval import DEFAULT_EXECUTORS_PER_REQUEST, MAX_EXECUTORS_PER_REQUEST, Approvals, Question
 from .causes import WaitCause
-from .crashes import began_lately, sum_at_stake
+from .crashes import has_recent_start, sum_work_at_risk
 from .fleet import ExecutorState, WorkRefusal
-from .gangs import SPREAD_PATIENCE_S, Gangs
+from .gangs import SPREAD_WAIT_S, GangPlacer
 from .guarantee import find_guaranteed
 from .headroom import Headroom
 from .late_starts import NOWHERE
@@ -22,27 +22,27 @@
 from .plan import Candidate, Plan, Start
 from .policy import DEFAULT_POLICY, Policy
 from .progress import Attempt, JobState, Phase, StepState, TaskState
-from .room import Room, Scope, count_free, count_with_reserved, make_rooms
-from .sharing import Neighbours
+from .room import Offer, Scope, count_free, count_with_reserved, make_offers
+from .sharing import Colocation
 from .task_names import find_executors
-from .victims import ENDS_SOON_S, Victims
+from .victims import ENDS_SOON_S, VictimSelector
 
-REMOTE_PATIENCE_S = 1.2
-HEADROOM_PATIENCE_S = 1.5
+REMOTE_WAIT_S = 1.2
+HEADROOM_WAIT_S = 1.5
 DUE_MARGIN_S = 1.0
-USUAL_STOP_S = 0.5
-NO_ROOM = Resources(-1, -1, -1)
-"""Nothing fits here, not even a task that asks for nothing."""
+DEFAULT_STOP_S = 0.5
+NO_CAPACITY = Resources(-1, -1, -1)
+"""Less than any task needs, even one that asks for nothing."""
 
 
 class Planner:
-    """Makes one plan for all pools at one moment, in one go or in several.
+    """Makes one scheduling plan for all pools, in one call or in several.
 
-    `may_run` tells whether an earlier owner's run of a task may be somewhere; None where no
-    such run can be. `is_naming`: the store can name executors for jobs; else each job is started
-    only at those that it names already. `pins` has the only executor for some tasks. `explain`
-    names steps by the keys of their first tasks; `causes` says why those of them wait that have
-    had their turn.
+    `may_run` returns whether a run of a task by an earlier owner may still exist; None if there
+    can be no such run. `is_naming` is true if the store can record executors for jobs; otherwise a
+    job starts only on executors already recorded for it. `pins` maps a task to the only executor
+    that may run it. `explain` lists steps by the keys of their first tasks; `causes` receives the
+    reason why each of them waits, once the plan has reached it.
     """
 
     def __init__(
@@ -56,7 +56,7 @@
         may_run: Callable[[TaskKey], bool] | None = None,
         approvals: Approvals | None = None,
         policy: Policy = DEFAULT_POLICY,
-        stop_s: float = USUAL_STOP_S,
+        stop_s: float = DEFAULT_STOP_S,
         is_naming: bool = True,
         pins: Mapping[TaskKey, str] | None = None,
     ) -> None:
@@ -68,67 +68,69 @@
         self._pins = pins or {}
         self.explain: Collection[TaskKey] = ()
         self.causes: dict[TaskKey, WaitCause] = {}
-        self._pinned_rooms: dict[str, Room] = {}
+        self._pinned_offers: dict[str, Offer] = {}
         self.now = now
         self.wall_now = wall_now
         self._states = {state.id: state for state in executors}
-        self.rooms = make_rooms(self._states.values(), now)
-        self._room_of = {room.state.id: room for rooms in self.rooms.values() for room in rooms}
+        self.offers = make_offers(self._states.values(), now)
+        self._offer_by_executor = {
+            offer.state.id: offer for offers in self.offers.values() for offer in offers
+        }
         self.plan = Plan()
         self.guaranteed = find_guaranteed(self.jobs, desired, wall_now)
-        self._full: set[tuple[object, ...]] = set()
-        self._usable_scopes: dict[tuple[str, str, bool], Scope] = {}
-        self._gangs = Gangs(now, policy)
-        self._headroom = Headroom(self.rooms, urgent_peaks or {})
-        self._left_alone: frozenset[str] | None = None
+        self._exhausted: set[tuple[object, ...]] = set()
+        self._eligible_scopes: dict[tuple[str, str, bool], Scope] = {}
+        self._gangs = GangPlacer(now, policy)
+        self._headroom = Headroom(self.offers, urgent_peaks or {})
+        self._headroom_executors: frozenset[str] | None = None
         self._urgent_missing: dict[str, int] = {}
-        self._pressed: dict[str, bool] = {}
-        self._neighbours = Neighbours(self.jobs)
+        self._blocks_others: dict[str, bool] = {}
+        self._colocation = Colocation(self.jobs)
         self._stopped: set[int] = set()
         wait_s = max(stop_s, ENDS_SOON_S) if policy.wait_for_ends else stop_s
         self._losses = Losses(self.jobs, desired, self.guaranteed, now, self._stopped, wait_s)
-        self._victims = Victims(self._losses, now)
+        self._victims = VictimSelector(self._losses, now)
         self._approvals = approvals
         self._waiting: deque[Candidate] | None = None
-        self._strays: dict[tuple[str, int, int], Counter[str]] = {}
+        self._stray_runs: dict[tuple[str, int, int], Counter[str]] = {}
 
     @property
     def is_complete(self) -> bool:
-        """Whether everything that waits has had its turn."""
+        """Whether the plan has reached every waiting step."""
         return not self._waiting
 
     def make(self, budget_s: float = float("inf")) -> Plan:
-        """Return what to start and what to take back now.
+        """Return the tasks to start and the attempts to stop now.
 
-        After `budget_s` the rest is left for the next call, which goes on where this one ended;
-        what was returned must be under way by then.
+        Once `budget_s` has passed, the remaining steps are left to the next call, which resumes
+        after the last step planned. The caller must have carried out the returned plan by then.
         """
-        until = trio.current_time() + budget_s if budget_s < float("inf") else budget_s
+        deadline = trio.current_time() + budget_s if budget_s < float("inf") else budget_s
         self.plan = Plan()
-        self._strays = _count_strays(self._room_of.values())
+        self._stray_runs = _count_stray_runs(self._offer_by_executor.values())
         if self._waiting is None:
-            self._waiting = deque(sorted(self._candidates(), key=lambda c: c.turn.order))
+            self._waiting = deque(sorted(self._candidates(), key=lambda c: c.rank.sort_key))
         else:
             self._refresh()
         while self._waiting:
-            self._serve(self._waiting.popleft())
-            if self._waiting and until < float("inf") and trio.current_time() >= until:
+            self._plan_step(self._waiting.popleft())
+            if self._waiting and deadline < float("inf") and trio.current_time() >= deadline:
                 break
         return self.plan
 
     def _refresh(self) -> None:
-        """Take in what has changed since the last call; room that came free is left out."""
+        """Apply changes since the last call, but leave freed capacity to the next plan."""
         assert self._waiting is not None
         now = trio.current_time()
-        for room in self._room_of.values():
-            room.shrink(room.state.free if room.state.accepts_work(now) else NO_ROOM)
-        for room in self._pinned_rooms.values():
-            room.shrink(room.state.free if _takes_pinned(room.state, now) else NO_ROOM)
-        still = (self._still_waiting(candidate) for candidate in self._waiting)
+        for offer in self._offer_by_executor.values():
+            offer.limit_to(offer.state.free if offer.state.accepts_work(now) else NO_CAPACITY)
+        for offer in self._pinned_offers.values():
+            offer.limit_to(offer.state.free if _accepts_pinned(offer.state, now) else NO_CAPACITY)
+        still = (self._drop_settled_tasks(candidate) for candidate in self._waiting)
         self._waiting = deque(candidate for candidate in still if candidate is not None)
 
-    def _still_waiting(self, candidate: Candidate) -> Candidate | None:
-        """Return a candidate with the tasks that still wait, None if there are none."""
+    def _drop_settled_tasks(self, candidate: Candidate) -> Candidate | None:
+        """Return a candidate reduced to the tasks that still wait, None if none do."""
         tasks = [task for task in candidate.tasks if task.is_open]
         is_broken = candidate.step.spec.gang and len(tasks) < len(candidate.tasks)
         if not tasks or is_broken or not candidate.job.is_active:
@@ -145,46 +147,46 @@
                 if step.is_done or (step.ready_at is not None and not step.open_count):
                     continue
                 if not job.is_ready(step, self.wall_now):
-                    self._await_due(step)
+                    self._replan_when_due(step)
                     continue
                 if step.ready_at is None:
                     step.ready_at = self.now
                 if not step.open_count or (step.spec.gang and step.held_count):
                     continue
-                tasks = self._without_doubt(job, step, step.open_tasks())
+                tasks = self._exclude_possibly_running(job, step, step.open_tasks())
                 if step.has_suspects:
                     tasks = [task for task in tasks if job.may_start(task)]
                 if not tasks or (step.spec.gang and len(tasks) < len(step.tasks)):
                     continue
-                for named, part in self._divide(job, step, tasks):
-                    yield self._rank(job, step, queue, part, named)
+                for allowed_executors, part in self._split_by_allowed_executors(job, step, tasks):
+                    yield self._rank(job, step, queue, part, allowed_executors)
 
-    def _await_due(self, step: StepState) -> None:
-        """Have a plan made when a step's time comes."""
+    def _replan_when_due(self, step: StepState) -> None:
+        """Request another plan for the time at which a step becomes due."""
         if step.due_at is not None and step.due_at > self.wall_now:
-            self._recheck(step.due_at - self.wall_now)
+            self._request_replan(step.due_at - self.wall_now)
 
-    def _without_doubt(
+    def _exclude_possibly_running(
         self, job: JobState, step: StepState, tasks: list[TaskState]
     ) -> list[TaskState]:
-        """Leave out the tasks that a run that nobody can see may be working on, or may soon."""
+        """Return the tasks without those that an unobservable run may be executing now or later."""
         if self._pins:
             tasks = [t for t in tasks if self._pins.get(job.key_of(step, t)) != NOWHERE]
         if self._may_run is None:
             return tasks
         return [t for t in tasks if not self._may_run(job.key_of(step, t))]
 
-    def _divide(
+    def _split_by_allowed_executors(
         self, job: JobState, step: StepState, tasks: list[TaskState]
     ) -> Iterable[tuple[frozenset[str] | None, list[TaskState]]]:
-        """Yield tasks by the executors that alone may be used, None for any."""
+        """Yield groups of tasks with the only executors they may use, None for any executor."""
         if self._is_naming:
             return [(None, tasks)]
         covered = job.places.list_covered()
         parts: dict[frozenset[str], list[TaskState]] = {}
         for task in tasks:
-            named = find_executors(covered, step.mask_of(task.index))
-            parts.setdefault(named, []).append(task)
+            allowed_executors = find_executors(covered, step.mask_of(task.index))
+            parts.setdefault(allowed_executors, []).append(task)
         return parts.items()
 
     def _rank(
@@ -193,158 +195,177 @@
         step: StepState,
         queue: Queue,
         tasks: list[TaskState],
-        named: frozenset[str] | None,
+        allowed_executors: frozenset[str] | None,
     ) -> Candidate:
         guaranteed = job.spec.id in self.guaranteed
-        turn = rank_step(job, step, queue, guaranteed, self.now, self.wall_now, self.policy)
+        rank = rank_step(job, step, queue, guaranteed, self.now, self.wall_now, self.policy)
         return Candidate(
-            job, step, queue, tasks, guaranteed, turn, named, self._list_pins(job, step, tasks)
+            job,
+            step,
+            queue,
+            tasks,
+            guaranteed,
+            rank,
+            allowed_executors,
+            self._list_pins(job, step, tasks),
         )
 
     def _list_pins(self, job: JobState, step: StepState, tasks: list[TaskState]) -> dict[int, str]:
-        """Return the only executor for those of some tasks that have one, by their index."""
+        """Return the executors that tasks are pinned to, by task index."""
         if not self._pins:
             return {}
         pins = ((task.index, self._pins.get(job.key_of(step, task))) for task in tasks)
         return {index: name for index, name in pins if name is not None}
 
-    def _serve(self, candidate: Candidate) -> None:
-        keeps_out = self._keeps_out(candidate)
-        usable: Scope | None = None
+    def _plan_step(self, candidate: Candidate) -> None:
+        avoids_headroom = self._avoids_headroom(candidate)
+        eligible: Scope | None = None
         if candidate.step.spec.gang and len(candidate.tasks) > 1:
-            usable = self._usable(candidate, keeps_out)
+            eligible = self._find_eligible(candidate, avoids_headroom)
             pinned = self._place_pinned(candidate)
             if len(pinned) < len(candidate.pins):
-                _give_back(candidate, pinned)
+                _release_all(candidate, pinned)
                 return
-            placed = self._place_gang(candidate, pinned, usable, keeps_out)
+            placed = self._place_gang(candidate, pinned, eligible, avoids_headroom)
         else:
-            placed = self._place_single(candidate, keeps_out)
+            placed = self._place_single(candidate, avoids_headroom)
         if placed:
             group = [
-                Start(candidate.job, candidate.step, task, room.state) for task, room in placed
+                Start(candidate.job, candidate.step, task, offer.state) for task, offer in placed
             ]
             self.plan.groups.append(group)
-            self._neighbours.note_placed(candidate.step.spec, (room for _, room in placed))
+            self._colocation.record_placed(candidate.step.spec, (offer for _, offer in placed))
         missing = len(candidate.tasks) - len(placed)
         if candidate.key in self.explain:
-            cause = WaitCause.DUE if placed else self._find_cause(candidate, keeps_out)
+            cause = WaitCause.DUE if placed else self._find_cause(candidate, avoids_headroom)
             self.causes[candidate.key] = cause
         if missing and candidate.queue.approval is not None:
-            self._ask_for_more(candidate)
+            self._request_approvals(candidate)
         if missing and candidate.step.spec.serves:
-            self._clear_filling(candidate, missing)
+            self._evict_best_effort(candidate, missing)
         if missing and candidate.queue.priority == URGENT:
             pool = candidate.queue.pool
             needed = missing * candidate.step.spec.need.accelerators
             self._urgent_missing[pool] = self._urgent_missing.get(pool, 0) + needed
-            usable = usable or self._usable(candidate, keeps_out)
-            if candidate.turn.may_take_back:
-                self._take_back(candidate, missing, usable)
-        elif missing and candidate.step.spec.gang and not self._is_pressed(candidate.queue.pool):
-            usable = usable or self._usable(candidate, keeps_out)
-            self._gangs.reserve(candidate, usable)
-
-    def _is_pressed(self, pool: str) -> bool:
-        """Whether keeping room of a pool for gangs would have others stand beside it.
-
-        As with the headroom, one that has nothing running waits no longer for that while much of
-        the pool is idle.
+            eligible = eligible or self._find_eligible(candidate, avoids_headroom)
+            if candidate.rank.may_preempt:
+                self._preempt(candidate, missing, eligible)
+        elif (
+            missing
+            and candidate.step.spec.gang
+            and not self._would_block_others(candidate.queue.pool)
+        ):
+            eligible = eligible or self._find_eligible(candidate, avoids_headroom)
+            self._gangs.reserve(candidate, eligible)
+
+    def _would_block_others(self, pool: str) -> bool:
+        """Whether reserving capacity of a pool for gangs would block other steps from starting.
+
+        Applies only while much of the pool is idle.
         """
-        if pool not in self._pressed:
+        if pool not in self._blocks_others:
             waiting = self._waiting or ()
-            self._pressed[pool] = self._headroom.is_mostly_idle(pool) and any(
-                self._stands_beside(candidate)
+            self._blocks_others[pool] = self._headroom.is_mostly_idle(pool) and any(
+                self._is_blocked_by_reservations(candidate)
                 for candidate in waiting
                 if candidate.queue.pool == pool
             )
-        return self._pressed[pool]
+        return self._blocks_others[pool]
 
-    def _stands_beside(self, candidate: Candidate) -> bool:
-        """Whether a candidate has nothing running, has waited and fits now, in whichever rack."""
+    def _is_blocked_by_reservations(self, candidate: Candidate) -> bool:
+        """Whether a candidate with nothing running has waited and would fit now in any rack."""
         spec = candidate.step.spec
-        if candidate.job.has_attempts or candidate.waited_s(self.now) < HEADROOM_PATIENCE_S:
+        if candidate.job.has_attempts or candidate.waited_s(self.now) < HEADROOM_WAIT_S:
             return False
-        wanted = _count_wanted(candidate)
-        if spec.same_rack and wanted > 1:
+        required = _count_required(candidate)
+        if spec.same_rack and required > 1:
             return False
-        return self._usable(candidate, self._keeps_out(candidate)).count(spec.need) >= wanted
+        return (
+            self._find_eligible(candidate, self._avoids_headroom(candidate)).count(spec.need)
+            >= required
+        )
 
-    def _keep_approved(self, candidate: Candidate, rooms: list[Room]) -> list[Room]:
-        """Return the rooms for which a ticket is at hand."""
+    def _filter_approved(self, candidate: Candidate, offers: list[Offer]) -> list[Offer]:
+        """Return the offers of executors for which the step holds an approval ticket."""
         if self._approvals is None:
             return []
         step = candidate.key
-        return [r for r in rooms if self._approvals.find_ticket(step, r.state.life) is not None]
+        return [
+            offer
+            for offer in offers
+            if self._approvals.find_ticket(step, offer.state.life) is not None
+        ]
 
-    def _ask_for_more(self, candidate: Candidate) -> None:
-        """Ask about executors with room of which nothing is known, the emptiest first."""
+    def _request_approvals(self, candidate: Candidate) -> None:
+        """Request approval for executors without a ticket or denial, the emptiest first."""
         if self._approvals is None or candidate.queue.approval is None:
             return
         step, spec = candidate.key, candidate.step.spec
         unknown = [
-            room
-            for room in self.rooms.get(candidate.queue.pool, [])
-            if not self._approvals.is_denied(step, room.state.life)
-            and self._approvals.find_ticket(step, room.state.life) is None
-            and (not spec.label or spec.label in room.state.executor.labels)
+            offer
+            for offer in self.offers.get(candidate.queue.pool, [])
+            if not self._approvals.is_denied(step, offer.state.life)
+            and self._approvals.find_ticket(step, offer.state.life) is None
+            and (not spec.label or spec.label in offer.state.executor.labels)
         ]
-        unknown.sort(key=lambda room: (not room.fits(spec.need), -room.now.accelerators))
-        count = min(LARGEST_QUESTION, max(USUAL_QUESTION, len(candidate.tasks)))
-        chosen = tuple(room.state.life for room in unknown[:count])
+        unknown.sort(key=lambda offer: (not offer.fits(spec.need), -offer.free.accelerators))
+        count = min(
+            MAX_EXECUTORS_PER_REQUEST, max(DEFAULT_EXECUTORS_PER_REQUEST, len(candidate.tasks))
+        )
+        chosen = tuple(offer.state.life for offer in unknown[:count])
         if chosen:
             self.plan.questions.append(Question(step, chosen, candidate.queue.approval))
 
-    def _clear_filling(self, candidate: Candidate, missing: int) -> None:
-        """Have what fills make way for tasks that serve."""
-        rooms = self.rooms.get(candidate.queue.pool, [])
-        for attempt in self._neighbours.find_in_the_way(candidate.step.spec, rooms, missing):
-            if self._losses.may_be_away(attempt):
+    def _evict_best_effort(self, candidate: Candidate, missing: int) -> None:
+        """Stop best-effort tasks on executors needed by serving tasks."""
+        offers = self.offers.get(candidate.queue.pool, [])
+        for attempt in self._colocation.find_blocking(candidate.step.spec, offers, missing):
+            if self._losses.may_disrupt(attempt):
                 self._stop(attempt)
 
-    def _usable(self, candidate: Candidate, keeps_out: bool) -> Scope:
-        """Return the executors that may run a step, the same scope for all that ask the same."""
+    def _find_eligible(self, candidate: Candidate, avoids_headroom: bool) -> Scope:
+        """Return the executors that may run a step; steps with equal requirements share a scope."""
         spec, queue = candidate.step.spec, candidate.queue
         is_apart = spec.fills or spec.serves or queue.approval is not None
-        if is_apart or candidate.named is not None:
-            return Scope(self._list_usable(candidate, keeps_out))
-        key = (queue.pool, spec.label, keeps_out)
-        if key not in self._usable_scopes:
-            self._usable_scopes[key] = Scope(self._list_usable(candidate, keeps_out))
-        return self._usable_scopes[key]
-
-    def _list_usable(self, candidate: Candidate, keeps_out: bool) -> list[Room]:
+        if is_apart or candidate.allowed_executors is not None:
+            return Scope(self._list_eligible(candidate, avoids_headroom))
+        key = (queue.pool, spec.label, avoids_headroom)
+        if key not in self._eligible_scopes:
+            self._eligible_scopes[key] = Scope(self._list_eligible(candidate, avoids_headroom))
+        return self._eligible_scopes[key]
+
+    def _list_eligible(self, candidate: Candidate, avoids_headroom: bool) -> list[Offer]:
         spec = candidate.step.spec
-        rooms = self.rooms.get(candidate.queue.pool, [])
-        rooms = self._neighbours.leave_apart(spec, rooms)
-        if candidate.named is not None:
-            rooms = [room for room in rooms if room.state.id in candidate.named]
+        offers = self.offers.get(candidate.queue.pool, [])
+        offers = self._colocation.filter_compatible(spec, offers)
+        if candidate.allowed_executors is not None:
+            offers = [offer for offer in offers if offer.state.id in candidate.allowed_executors]
         if candidate.queue.approval is not None:
-            rooms = self._keep_approved(candidate, rooms)
+            offers = self._filter_approved(candidate, offers)
         if spec.label:
-            rooms = [r for r in rooms if spec.label in r.state.executor.labels]
-        if keeps_out:
-            headroom = self._find_headroom()
-            rooms = [r for r in rooms if r.state.id not in headroom]
-        return rooms
+            offers = [offer for offer in offers if spec.label in offer.state.executor.labels]
+        if avoids_headroom:
+            headroom = self._find_headroom_executors()
+            offers = [offer for offer in offers if offer.state.id not in headroom]
+        return offers
 
-    def _keeps_out(self, candidate: Candidate) -> bool:
-        """Whether a candidate leaves the headroom for urgent work alone.
+    def _avoids_headroom(self, candidate: Candidate) -> bool:
+        """Whether a candidate must leave the headroom for urgent work free.
 
-        One that has nothing running waits no longer once it would be late otherwise, nor
-        while much of the pool is idle.
+        A job with nothing running may use the headroom after a wait if it would otherwise be late,
+        or while much of the pool is idle.
         """
         if candidate.queue.priority == URGENT or not self.policy.headroom:
             return False
-        if candidate.job.has_attempts or candidate.waited_s(self.now) < HEADROOM_PATIENCE_S:
+        if candidate.job.has_attempts or candidate.waited_s(self.now) < HEADROOM_WAIT_S:
             return True
-        is_due = self.now >= candidate.turn.latest - DUE_MARGIN_S
+        is_due = self.now >= candidate.rank.latest_start - DUE_MARGIN_S
         return not (is_due or self._headroom.is_mostly_idle(candidate.queue.pool))
 
-    def _find_headroom(self) -> frozenset[str]:
-        if self._left_alone is None:
-            self._left_alone = self._headroom.choose(self.urgent_in_use())
-        return self._left_alone
+    def _find_headroom_executors(self) -> frozenset[str]:
+        if self._headroom_executors is None:
+            self._headroom_executors = self._headroom.choose(self.urgent_in_use())
+        return self._headroom_executors
 
     def urgent_demand(self) -> dict[str, int]:
         """Return the accelerators that urgent work holds or waits for, by pool."""
@@ -354,7 +375,7 @@
         return demand
 
     def urgent_in_use(self) -> dict[str, int]:
-        """Return the accelerators that urgent work holds, with this plan's starts, by pool."""
+        """Return the accelerators that urgent work holds, including this plan's starts, by pool."""
         used: dict[str, int] = {}
         for job in self.jobs:
             queue = self.desired.current_queue(job.spec)
@@ -370,282 +391,291 @@
     def _place_gang(
         self,
         candidate: Candidate,
-        pinned: list[tuple[TaskState, Room]],
-        usable: Scope,
-        keeps_out: bool,
-    ) -> list[tuple[TaskState, Room]]:
-        """Return the rooms of all members, those of the pinned ones among them, or none."""
-        free = _leave_pinned_out(candidate)
-        if not free.tasks:
+        pinned: list[tuple[TaskState, Offer]],
+        eligible: Scope,
+        avoids_headroom: bool,
+    ) -> list[tuple[TaskState, Offer]]:
+        """Return the offers chosen for all members, including pinned ones, or an empty list."""
+        unpinned = _without_pinned(candidate)
+        if not unpinned.tasks:
             return pinned
         held = self._count_by_executor(candidate)
         if candidate.step.spec.spread_limit:
-            held += Counter(room.state.id for _, room in pinned)
-        placed = self._gangs.place(free, usable, keeps_out, held)
+            held += Counter(offer.state.id for _, offer in pinned)
+        placed = self._gangs.place(unpinned, eligible, avoids_headroom, held)
         if not placed:
-            _give_back(candidate, pinned)
+            _release_all(candidate, pinned)
             return []
         return pinned + placed
 
-    # Why a step is left waiting
+    # Reasons why a step waits
 
-    def _find_cause(self, candidate: Candidate, keeps_out: bool) -> WaitCause:
-        """Return what keeps a step waiting: that without which there would be room for it."""
-        need, wanted = candidate.step.spec.need, _count_wanted(candidate)
-        usable = self._usable(candidate, keeps_out)
-        if usable.count(need) >= wanted:
-            return self._find_limit(candidate, usable)
-        if keeps_out and self._usable(candidate, False).count(need) >= wanted:
+    def _find_cause(self, candidate: Candidate, avoids_headroom: bool) -> WaitCause:
+        """Return the constraint that keeps a step waiting although it would fit without it."""
+        need, required = candidate.step.spec.need, _count_required(candidate)
+        eligible = self._find_eligible(candidate, avoids_headroom)
+        if eligible.count(need) >= required:
+            return self._find_limiting_cause(candidate, eligible)
+        if avoids_headroom and self._find_eligible(candidate, False).count(need) >= required:
             return WaitCause.HEADROOM
-        if count_with_reserved(self._list_usable(candidate, False), need) >= wanted:
+        if count_with_reserved(self._list_eligible(candidate, False), need) >= required:
             return WaitCause.RESERVED
-        return self._find_bar(candidate)
+        return self._find_exclusion_cause(candidate)
 
-    def _find_limit(self, candidate: Candidate, usable: Scope) -> WaitCause:
-        """Return which of its limits keeps a step from room that it may use."""
-        spec, wanted = candidate.step.spec, _count_wanted(candidate)
-        scopes = self._gangs.list_scopes(candidate, usable)
-        if not any(scope.count(spec.need) >= wanted for scope in scopes):
+    def _find_limiting_cause(self, candidate: Candidate, eligible: Scope) -> WaitCause:
+        """Return which of a step's own constraints excludes executors with enough free capacity."""
+        spec, required = candidate.step.spec, _count_required(candidate)
+        scopes = self._gangs.list_scopes(candidate, eligible)
+        if not any(scope.count(spec.need) >= required for scope in scopes):
             return WaitCause.RACK
         avoided = self._gangs.list_avoided(candidate)
-        others = [room for room in usable.rooms if room.state.id not in avoided]
-        if count_free(others, spec.need) < wanted:
+        others = [offer for offer in eligible.offers if offer.state.id not in avoided]
+        if count_free(others, spec.need) < required:
             return WaitCause.AVOIDED
         return WaitCause.SPREAD if spec.spread_limit else WaitCause.TAKEN
 
-    def _find_bar(self, candidate: Candidate) -> WaitCause:
-        """Return what bars a step from executors with room, if anything does."""
+    def _find_exclusion_cause(self, candidate: Candidate) -> WaitCause:
+        """Return why executors with enough free capacity are not eligible for a step."""
         spec, queue = candidate.step.spec, candidate.queue
-        if candidate.named is not None:
+        if candidate.allowed_executors is not None:
             return WaitCause.UNNAMED
         if queue.approval is not None:
             approved = replace(candidate, queue=replace(queue, approval=None))
-            if _has_room(self._list_usable(approved, False), candidate):
+            if _has_capacity(self._list_eligible(approved, False), candidate):
                 return WaitCause.APPROVAL
-        rooms = self.rooms.get(queue.pool, [])
+        offers = self.offers.get(queue.pool, [])
         if spec.label:
-            rooms = [r for r in rooms if spec.label in r.state.executor.labels]
-        apart = self._neighbours.leave_apart(spec, rooms)
-        is_barred = _has_room(rooms, candidate) and not _has_room(apart, candidate)
+            offers = [offer for offer in offers if spec.label in offer.state.executor.labels]
+        compatible = self._colocation.filter_compatible(spec, offers)
+        is_barred = _has_capacity(offers, candidate) and not _has_capacity(compatible, candidate)
         return WaitCause.NEIGHBOURS if is_barred else WaitCause.TAKEN
 
-    # One task at a time
+    # Placement of single tasks
 
-    def _place_pinned(self, candidate: Candidate) -> list[tuple[TaskState, Room]]:
-        """Take room for the tasks that may go to one executor alone, as far as it is there.
+    def _place_pinned(self, candidate: Candidate) -> list[tuple[TaskState, Offer]]:
+        """Allocate capacity for pinned tasks on their executors, as far as they fit.
 
-        One that rests takes them too: it may be well, and nobody else may.
+        An executor that is resting after failures still accepts them, as no other executor may run
+        them.
         """
-        placed: list[tuple[TaskState, Room]] = []
+        placed: list[tuple[TaskState, Offer]] = []
         if not candidate.pins:
             return placed
         spec, counts = candidate.step.spec, self._count_by_executor(candidate)
         for task in candidate.tasks:
             name = candidate.pins.get(task.index, NOWHERE)
-            room = self._find_pinned_room(candidate, name)
-            if room is None or not room.fits(spec.need):
+            offer = self._find_pinned_offer(candidate, name)
+            if offer is None or not offer.fits(spec.need):
                 continue
             if spec.spread_limit and counts[name] >= spec.spread_limit:
                 continue
-            room.take(spec.need)
+            offer.allocate(spec.need)
             counts[name] += 1
-            placed.append((task, room))
+            placed.append((task, offer))
         return placed
 
-    def _find_pinned_room(self, candidate: Candidate, name: str) -> Room | None:
-        """Return the room at an executor that a step may be pinned to, None if it takes none."""
+    def _find_pinned_offer(self, candidate: Candidate, name: str) -> Offer | None:
+        """Return the offer of the executor a task is pinned to, None if it cannot accept it."""
         state, label = self._states.get(name), candidate.step.spec.label
-        if state is None or not _takes_pinned(state, self.now):
+        if state is None or not _accepts_pinned(state, self.now):
             return None
         if state.executor.pool != candidate.queue.pool:
             return None
         if label and label not in state.executor.labels:
             return None
-        if candidate.named is not None and name not in candidate.named:
+        if candidate.allowed_executors is not None and name not in candidate.allowed_executors:
             return None
         if candidate.queue.approval is not None and (
             self._approvals is None
             or self._approvals.find_ticket(candidate.key, state.life) is None
         ):
             return None
-        room = self._room_of.get(name) or self._pinned_rooms.get(name)
-        if room is None:
-            room = self._pinned_rooms[name] = Room(state, state.free, state.room_soon())
-        return room
-
-    def _place_single(self, candidate: Candidate, keeps_out: bool) -> list[tuple[TaskState, Room]]:
+        offer = self._offer_by_executor.get(name) or self._pinned_offers.get(name)
+        if offer is None:
+            offer = self._pinned_offers[name] = Offer(state, state.free, state.room_soon())
+        return offer
+
+    def _place_single(
+        self, candidate: Candidate, avoids_headroom: bool
+    ) -> list[tuple[TaskState, Offer]]:
         pinned = self._place_pinned(candidate)
-        free = _leave_pinned_out(candidate)
-        if not free.tasks or (pinned and candidate.step.spec.spread_limit):
-            # With a limit the rest is counted beside these by the next plan, which comes at once.
+        unpinned = _without_pinned(candidate)
+        if not unpinned.tasks or (pinned and candidate.step.spec.spread_limit):
+            # The next plan, which follows at once, counts the pinned tasks towards the spread
+            # limit.
             return pinned
-        return pinned + self._place_free(free, keeps_out)
+        return pinned + self._place_unpinned(unpinned, avoids_headroom)
 
-    def _place_free(self, candidate: Candidate, keeps_out: bool) -> list[tuple[TaskState, Room]]:
+    def _place_unpinned(
+        self, candidate: Candidate, avoids_headroom: bool
+    ) -> list[tuple[TaskState, Offer]]:
         spec = candidate.step.spec
-        full_key = (
+        exhausted_key = (
             candidate.queue.pool,
             spec.need,
             spec.label,
-            keeps_out,
+            avoids_headroom,
             spec.serves,
             spec.fills,
             candidate.key if candidate.queue.approval else None,
-            candidate.named,
+            candidate.allowed_executors,
         )
-        if full_key in self._full:
+        if exhausted_key in self._exhausted:
             return []
-        usable = self._usable(candidate, keeps_out)
-        fitting = usable.list_fitting(spec.need)
+        eligible = self._find_eligible(candidate, avoids_headroom)
+        fitting = eligible.list_fitting(spec.need)
         if not fitting:
-            self._full.add(full_key)
+            self._exhausted.add(exhausted_key)
             return []
         if spec.data_rack:
-            near = [r for r in fitting if r.state.executor.rack == spec.data_rack]
-            if near or not self._may_go_remote(candidate, usable):
+            near = [offer for offer in fitting if offer.state.executor.rack == spec.data_rack]
+            if near or not self._may_ignore_data_rack(candidate, eligible):
                 fitting = near
-        fitting.sort(key=self._gangs.prefer)
+        fitting.sort(key=self._gangs.packing_order)
         if candidate.step.has_suspects:
-            return self._fill_apart(candidate, fitting)
-        return self._fill(candidate, fitting, candidate.tasks)
+            return self._place_suspects(candidate, fitting)
+        return self._place_first_fit(candidate, fitting, candidate.tasks)
 
-    def _fill_apart(self, candidate: Candidate, rooms: list[Room]) -> list[tuple[TaskState, Room]]:
-        """Give each task under which an executor crashed one of its own, then the others theirs.
+    def _place_suspects(
+        self, candidate: Candidate, offers: list[Offer]
+    ) -> list[tuple[TaskState, Offer]]:
+        """Place each task suspected of crashing executors alone, then the other tasks.
 
-        It is the only one to begin there if that can be had, and least work is lost if it crashes
-        that one too.
+        Prefers executors without other recent starts, so that a crash can be attributed, and those
+        where a crash would lose least work.
         """
-        placed: list[tuple[TaskState, Room]] = []
+        placed: list[tuple[TaskState, Offer]] = []
 
-        def rank(room: Room) -> tuple[bool, float]:
-            return began_lately(room.state, self.now), sum_at_stake(room.state, self.now)
+        def crash_risk(offer: Offer) -> tuple[bool, float]:
+            return has_recent_start(offer.state, self.now), sum_work_at_risk(offer.state, self.now)
 
-        apart = sorted(rooms, key=rank)
+        by_crash_risk = sorted(offers, key=crash_risk)
         for task in [task for task in candidate.tasks if task.crashes]:
-            found = self._fill(candidate, apart, [task])
-            for _, room in found:
-                room.shrink(NO_ROOM)
+            found = self._place_first_fit(candidate, by_crash_risk, [task])
+            for _, offer in found:
+                offer.limit_to(NO_CAPACITY)
             placed += found
-        return placed + self._fill(candidate, rooms, [t for t in candidate.tasks if not t.crashes])
+        return placed + self._place_first_fit(
+            candidate, offers, [t for t in candidate.tasks if not t.crashes]
+        )
 
-    def _fill(
-        self, candidate: Candidate, rooms: list[Room], tasks: list[TaskState]
-    ) -> list[tuple[TaskState, Room]]:
-        """Give each task the first room that takes it."""
+    def _place_first_fit(
+        self, candidate: Candidate, offers: list[Offer], tasks: list[TaskState]
+    ) -> list[tuple[TaskState, Offer]]:
+        """Allocate for each task the first offer that fits it."""
         spec = candidate.step.spec
         counts = self._count_by_executor(candidate)
 
-        def is_used_up(room: Room) -> bool:
-            if spec.spread_limit and counts.get(room.state.id, 0) >= spec.spread_limit:
+        def is_exhausted(offer: Offer) -> bool:
+            if spec.spread_limit and counts.get(offer.state.id, 0) >= spec.spread_limit:
                 return True
-            return not room.fits(spec.need)
+            return not offer.fits(spec.need)
 
         placed = []
         first = 0
         for task in tasks:
-            while first < len(rooms) and is_used_up(rooms[first]):
+            while first < len(offers) and is_exhausted(offers[first]):
                 first += 1
-            for room in rooms[first:]:
-                if is_used_up(room) or task.avoids(room.state.id, self.now):
+            for offer in offers[first:]:
+                if is_exhausted(offer) or task.avoids(offer.state.id, self.now):
                     continue
-                room.take(spec.need)
-                counts[room.state.id] = counts.get(room.state.id, 0) + 1
-                placed.append((task, room))
+                offer.allocate(spec.need)
+                counts[offer.state.id] = counts.get(offer.state.id, 0) + 1
+                placed.append((task, offer))
                 break
         return placed
 
     def _count_by_executor(self, candidate: Candidate) -> Counter[str]:
-        """Return how many runs of a step with a limit are, or may be, at each executor.
+        """Return how many runs of a step with a spread limit each executor may hold.
 
-        A run beside its task's attempt counts until it has ended: its executor goes by what it
-        holds.
+        Includes stray runs, which count against the limit of their executor until they end.
         """
         step = candidate.step
         if not step.spec.spread_limit:
             return Counter()
         attempts = Counter(attempt.executor for attempt in step.attempts())
-        return attempts + self._strays.get(_name_step(candidate.key), Counter())
+        return attempts + self._stray_runs.get(_step_key(candidate.key), Counter())
 
-    def _may_go_remote(self, candidate: Candidate, usable: Scope) -> bool:
-        if usable.find_part(candidate.step.spec.data_rack) is None:
+    def _may_ignore_data_rack(self, candidate: Candidate, eligible: Scope) -> bool:
+        if eligible.find_rack(candidate.step.spec.data_rack) is None:
             return True
-        if candidate.waited_s(self.now) >= REMOTE_PATIENCE_S or not self.policy.wait_for_data:
+        if candidate.waited_s(self.now) >= REMOTE_WAIT_S or not self.policy.wait_for_data:
             return True
-        self._recheck(REMOTE_PATIENCE_S - candidate.waited_s(self.now))
+        self._request_replan(REMOTE_WAIT_S - candidate.waited_s(self.now))
         return False
 
-    def _recheck(self, in_s: float) -> None:
+    def _request_replan(self, in_s: float) -> None:
         known = self.plan.recheck_in_s
         self.plan.recheck_in_s = in_s if known is None else min(known, in_s)
 
-    # Taking back
+    # Preemption
 
-    def _take_back(self, candidate: Candidate, missing: int, usable: Scope) -> None:
-        """Use what is being stopped, and stop more if that is not enough."""
+    def _preempt(self, candidate: Candidate, missing: int, eligible: Scope) -> None:
+        """Place tasks on capacity that stops will free, stopping more attempts if needed."""
         spec = candidate.step.spec
-        scopes = self._gangs.list_scopes(candidate, usable) if spec.gang else [usable]
-        best: tuple[float, list[Attempt], list[Room]] | None = None
+        scopes = self._gangs.list_scopes(candidate, eligible) if spec.gang else [eligible]
+        best: tuple[float, list[Attempt], list[Offer]] | None = None
         for scope in scopes:
-            ceiling = float("inf") if best is None else best[0]
-            best = self._victims.clear(candidate, missing, scope, ceiling) or best
+            max_cost = float("inf") if best is None else best[0]
+            best = self._victims.find_victims(candidate, missing, scope, max_cost) or best
         if best is None:
             if spec.gang:
-                self._recheck(max(0.05, SPREAD_PATIENCE_S - candidate.waited_s(self.now)))
+                self._request_replan(max(0.05, SPREAD_WAIT_S - candidate.waited_s(self.now)))
             return
         _, victims, chosen = best
         for attempt in victims:
             for member in self._losses.whole_gang(attempt):
                 self._stop(member)
-        for room in chosen:
-            room.take(spec.need)
+        for offer in chosen:
+            offer.allocate(spec.need)
 
     def _stop(self, attempt: Attempt) -> None:
         if attempt.phase is Phase.STOPPING or id(attempt) in self._stopped:
             return
         self.plan.stops.append(attempt)
         self._stopped.add(id(attempt))
-        room = self._room_of.get(attempt.executor)
-        if room is not None:
-            room.await_stop(attempt.need)
+        offer = self._offer_by_executor.get(attempt.executor)
+        if offer is not None:
+            offer.add_pending_stop(attempt.need)
 
 
-def _count_wanted(candidate: Candidate) -> int:
-    """Return of how many tasks a step needs room before any of them is started."""
+def _count_required(candidate: Candidate) -> int:
+    """Return how many tasks of a step must fit before any of them starts."""
     return len(candidate.tasks) if candidate.step.spec.gang else 1
 
 
-def _has_room(rooms: Iterable[Room], candidate: Candidate) -> bool:
-    return count_free(rooms, candidate.step.spec.need) >= _count_wanted(candidate)
+def _has_capacity(offers: Iterable[Offer], candidate: Candidate) -> bool:
+    return count_free(offers, candidate.step.spec.need) >= _count_required(candidate)
 
 
-def _takes_pinned(state: ExecutorState, now: float) -> bool:
-    """Whether tasks that may go nowhere else may be started at an executor."""
+def _accepts_pinned(state: ExecutorState, now: float) -> bool:
+    """Whether an executor accepts tasks that may run on no other executor."""
     return state.find_refusal(now) in (None, WorkRefusal.RESTING)
 
 
-def _leave_pinned_out(candidate: Candidate) -> Candidate:
-    """Return a candidate without its tasks that are pinned."""
+def _without_pinned(candidate: Candidate) -> Candidate:
+    """Return a candidate without its pinned tasks."""
     if not candidate.pins:
         return candidate
     tasks = [task for task in candidate.tasks if task.index not in candidate.pins]
     return replace(candidate, tasks=tasks, pins={})
 
 
-def _give_back(candidate: Candidate, placed: list[tuple[TaskState, Room]]) -> None:
-    """Have the room again that was taken for some tasks of a step."""
-    for _, room in placed:
-        room.give_back(candidate.step.spec.need)
+def _release_all(candidate: Candidate, placed: list[tuple[TaskState, Offer]]) -> None:
+    """Release the capacity allocated for some tasks of a step."""
+    for _, offer in placed:
+        offer.release(candidate.step.spec.need)
 
 
-def _name_step(task: TaskKey) -> tuple[str, int, int]:
-    """Return what is the same for all tasks of a step, and of one time of its job."""
+def _step_key(task: TaskKey) -> tuple[str, int, int]:
+    """Return the part of a task's key that identifies its step and occurrence."""
     return task.job, task.step, task.occurrence
 
 
-def _count_strays(rooms: Iterable[Room]) -> dict[tuple[str, int, int], Counter[str]]:
-    """Return, by step, how many runs are at each executor without being their tasks' attempts."""
+def _count_stray_runs(offers: Iterable[Offer]) -> dict[tuple[str, int, int], Counter[str]]:
+    """Return, by step, how many runs other than current attempts each executor holds."""
     counts: dict[tuple[str, int, int], Counter[str]] = {}
-    for room in rooms:
-        for task, _ in room.state.strays:
-            counts.setdefault(_name_step(task), Counter())[room.state.id] += 1
+    for offer in offers:
+        for task, _ in offer.state.strays:
+            counts.setdefault(_step_key(task), Counter())[offer.state.id] += 1
     return counts
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/policy.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/policy.py
@@ -1,4 +1,4 @@
-"""Switches for the mechanisms that decide how well work is served; none touches a promise."""
+"""Switches for scheduling heuristics; none affects correctness guarantees."""
 
 from __future__ import annotations
 
@@ -7,18 +7,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Policy:
-    """Each mechanism on or off, so that what it is worth can be measured.
-
-    Promises (guarantees, whole gangs, at most one run, truthful answers) hold with any of them
-    off. docs/decisions.md tells what each was measured to be worth.
-
-    `headroom` leaves room for urgent work; `move_slow_runs` starts slow runs anew elsewhere;
-    `reserve` keeps what is free for a waiting gang; `wait_for_data` waits a while for room near
-    a step's data; `compare_members` measures a gang's members against each other instead of
-    their caller's estimate; `look_early` reads a gang's progress more often while its run is
-    young; `wait_for_ends` (off) has urgent work wait for what ends by itself soon, also where a
-    stop takes less; `hopeless_last` (off) serves urgent work that earns nothing any more after
-    all other, and stops nothing for it.
+    """Enables or disables each heuristic, so that its effect can be measured.
+
+    Guarantees, whole gangs, at most one run per task and truthful answers hold whatever is
+    disabled.
+
+    `headroom` keeps capacity free for urgent work; `move_slow_runs` restarts slow runs on other
+    executors; `reserve` reserves free capacity for a waiting gang; `wait_for_data` delays a step
+    for a while to place it near its data; `compare_members` compares a gang's members with each
+    other instead of with the caller's estimate; `look_early` polls a gang's progress more often
+    shortly after its start; `wait_for_ends` lets urgent work wait for attempts that end soon even
+    if stopping them would be faster; `hopeless_last` ranks urgent work last, and preempts nothing
+    for it, once it can no longer be useful.
     """
 
     headroom: bool = True
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/room.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/room.py
@@ -1,7 +1,7 @@
-"""What is left at each executor while a plan is made, by rack and for whole pools.
+"""The capacity that executors still offer while a plan is made, by rack and by pool.
 
-Many waiting steps ask the same of the same executors, so what was worked out for a group of
-rooms is kept until one of them changes.
+Many waiting steps have the same requirements, so results computed for a rack are cached until one
+of its offers changes.
 """
 
 from __future__ import annotations
@@ -13,185 +13,191 @@
 from .fleet import ExecutorState
 from .model import ACCELERATOR_IN_CORES, NOTHING, Resources, StepSpec
 
-Kept = TypeVar("Kept")
+Computed = TypeVar("Computed")
 
-COUNT_OF_NOTHING = 1_000_000
-"""How many tasks fit that ask for nothing: more than any job has."""
+UNLIMITED_FITS = 1_000_000
+"""Number of tasks without any requirement that fit; more than a job may have."""
 
 
 @dataclass(slots=True, eq=False)
-class Changes:
-    """Counts the changes to a group of rooms; `whole` is the group that this one is part of.
+class ChangeCounter:
+    """Counts changes to the offers of a rack or pool; `parent` counts those of the enclosing pool.
 
-    `millicores_taken` is what the plan has taken there, an accelerator weighed as
-    `Resources.cores` weighs it.
+    `millicores_allocated` is what the plan has allocated there, with accelerators weighted as in
+    `Resources.cores`.
     """
 
-    whole: Changes | None = None
+    parent: ChangeCounter | None = None
     count: int = 0
-    millicores_taken: int = 0
+    millicores_allocated: int = 0
 
-    def note(self, taken: int = 0) -> None:
-        """Count one change, here and in the whole."""
+    def record(self, allocated: int = 0) -> None:
+        """Count one change, here and in the parent."""
         self.count += 1
-        self.millicores_taken += taken
-        if self.whole is not None:
-            self.whole.note(taken)
+        self.millicores_allocated += allocated
+        if self.parent is not None:
+            self.parent.record(allocated)
 
 
 @dataclass(slots=True, eq=False)
-class Room:
-    """What is left at one executor while a plan is made.
+class Offer:
+    """The resources that one executor still offers while a plan is made.
 
-    `number` is its place among the plan's executors; `stops` counts the attempts there that
-    the plan stops. `reserved` is what is kept for gangs that wait.
+    `free` is unallocated now; `projected` is what will be free once pending stops complete, less
+    what is promised to others. `number` is the executor's position in the plan's order, `stops`
+    counts the attempts there that the plan stops, and `reserved` is held for waiting gangs.
     """
 
     state: ExecutorState
-    now: Resources
-    soon: Resources
+    free: Resources
+    projected: Resources
     number: int = 0
-    changes: Changes = field(default_factory=Changes)
+    changes: ChangeCounter = field(default_factory=ChangeCounter)
     stops: int = 0
     reserved: Resources = NOTHING
 
-    def take(self, need: Resources) -> None:
-        """Use room for one task."""
-        self.now = self.now.minus(need)
-        self.soon = self.soon.minus(need)
-        self.changes.note(weigh_millicores(need))
+    def allocate(self, need: Resources) -> None:
+        """Allocate resources for one task."""
+        self.free = self.free.minus(need)
+        self.projected = self.projected.minus(need)
+        self.changes.record(weigh_millicores(need))
 
     def reserve(self, need: Resources) -> None:
-        """Keep room for one task of a gang that waits."""
-        self.take(need)
+        """Reserve resources for one task of a waiting gang."""
+        self.allocate(need)
         self.reserved = self.reserved.plus(need)
 
-    def give_back(self, need: Resources) -> None:
-        """Have the room again that was taken for one task."""
-        self.now = self.now.plus(need)
-        self.soon = self.soon.plus(need)
-        self.changes.note(-weigh_millicores(need))
+    def release(self, need: Resources) -> None:
+        """Release the resources allocated for one task."""
+        self.free = self.free.plus(need)
+        self.projected = self.projected.plus(need)
+        self.changes.record(-weigh_millicores(need))
 
-    def await_stop(self, need: Resources) -> None:
-        """Count on the room of an attempt that the plan stops."""
-        self.soon = self.soon.plus(need)
+    def add_pending_stop(self, need: Resources) -> None:
+        """Add the resources of an attempt that the plan stops to those projected."""
+        self.projected = self.projected.plus(need)
         self.stops += 1
-        self.changes.note()
+        self.changes.record()
 
-    def shrink(self, most: Resources) -> None:
-        """Leave no more than `most` of what is free now."""
-        if not self.now.fits_in(most):
-            self.now = Resources(*map(min, self.now, most))
-            self.changes.note()
+    def limit_to(self, limit: Resources) -> None:
+        """Reduce the free resources to at most `limit`."""
+        if not self.free.fits_in(limit):
+            self.free = Resources(*map(min, self.free, limit))
+            self.changes.record()
 
     def fits(self, need: Resources) -> bool:
-        """Whether one more task fits now without what was promised to others."""
-        return need.fits_in(self.now) and need.fits_in(self.soon)
+        """Whether one more task fits now, apart from resources promised to others."""
+        return need.fits_in(self.free) and need.fits_in(self.projected)
 
 
 class Scope:
-    """Executors that a step may use: those of one rack, or of several, in the plan's order.
+    """Executors that a step may use, in one rack or in several, in the plan's order.
 
-    What is worked out with `keep` is worked out again once a room of the scope has changed.
+    A rack's scope caches results until one of its offers changes.
     """
 
-    def __init__(self, rooms: list[Room], changes: Changes | None = None) -> None:
-        self.rooms = rooms
+    def __init__(self, offers: list[Offer], changes: ChangeCounter | None = None) -> None:
+        self.offers = offers
         self._changes = changes
-        self._kept: dict[object, tuple[int, object]] = {}
-        self._held_when_empty: dict[Resources, int] = {}
-        self._parts: list[Scope] | None = None
-        self._by_id: dict[str, Room] = {}
+        self._cache: dict[object, tuple[int, object]] = {}
+        self._fits_when_empty: dict[Resources, int] = {}
+        self._racks: list[Scope] | None = None
+        self._by_id: dict[str, Offer] = {}
 
     @property
     def is_rack(self) -> bool:
-        """Whether its rooms are all of one rack, and known to be so."""
+        """Whether all offers are known to be in one rack."""
         return self._changes is not None
 
     @property
-    def parts(self) -> list[Scope]:
-        """The scope rack by rack; a rack is its own only part."""
+    def racks(self) -> list[Scope]:
+        """The scope split by rack; the scope of one rack holds only itself."""
         if self.is_rack:
             return [self]
-        if self._parts is None:
-            racks = group_by_rack(self.rooms).values()
-            self._parts = [Scope(rooms, rooms[0].changes) for rooms in racks]
-        return self._parts
-
-    def find_part(self, rack: str) -> Scope | None:
-        """Return the part of one rack."""
-        for part in self.parts:
-            if part.rooms[0].state.executor.rack == rack:
-                return part
+        if self._racks is None:
+            racks = group_by_rack(self.offers).values()
+            self._racks = [Scope(offers, offers[0].changes) for offers in racks]
+        return self._racks
+
+    def find_rack(self, rack: str) -> Scope | None:
+        """Return the scope of one rack, None if no offer is in it."""
+        for rack_scope in self.racks:
+            if rack_scope.offers[0].state.executor.rack == rack:
+                return rack_scope
         return None
 
-    def find_room(self, executor: str) -> Room | None:
-        """Return the room at an executor, None if it is not in the scope."""
+    def find_offer(self, executor: str) -> Offer | None:
+        """Return the offer of an executor, None if it is not in the scope."""
         if not self._by_id:
-            self._by_id = {room.state.id: room for room in self.rooms}
+            self._by_id = {offer.state.id: offer for offer in self.offers}
         return self._by_id.get(executor)
 
-    def keep(self, key: object, work_out: Callable[[list[Room]], Kept]) -> Kept:
-        """Return what was worked out for a rack's rooms, anew if one of them has changed."""
-        assert self._changes is not None, "kept for each rack alone"
-        known = self._kept.get(key)
+    def cached(self, key: object, compute: Callable[[list[Offer]], Computed]) -> Computed:
+        """Return a result for a rack's offers, recomputed only after one of them has changed."""
+        assert self._changes is not None, "results are cached for single racks only"
+        known = self._cache.get(key)
         if known is not None and known[0] == self._changes.count:
-            return cast(Kept, known[1])
-        found = work_out(self.rooms)
-        self._kept[key] = (self._changes.count, found)
+            return cast(Computed, known[1])
+        found = compute(self.offers)
+        self._cache[key] = (self._changes.count, found)
         return found
 
     def count(self, need: Resources) -> int:
-        """Return how many tasks fit now without what was promised to others."""
+        """Return how many tasks fit now, apart from resources promised to others."""
         if not self.is_rack:
-            return sum(part.count(need) for part in self.parts)
-        return self.keep(need, lambda rooms: count_free(rooms, need))
+            return sum(rack_scope.count(need) for rack_scope in self.racks)
+        return self.cached(need, lambda offers: count_free(offers, need))
 
     def free_accelerators(self) -> int:
         """Return how many accelerators are free now."""
         if not self.is_rack:
-            return sum(part.free_accelerators() for part in self.parts)
-        return self.keep("free", lambda rooms: sum(room.now.accelerators for room in rooms))
+            return sum(rack_scope.free_accelerators() for rack_scope in self.racks)
+        return self.cached("free", lambda offers: sum(offer.free.accelerators for offer in offers))
 
-    def list_fitting(self, need: Resources) -> list[Room]:
-        """Return the rooms where a task fits now, in the plan's order."""
+    def list_fitting(self, need: Resources) -> list[Offer]:
+        """Return the offers on which a task fits now, in the plan's order."""
         if self.is_rack:
-            return [room for room in self.rooms if room.fits(need)]
-        found = [r for part in self.parts if part.count(need) for r in part.list_fitting(need)]
-        found.sort(key=lambda room: room.number)
+            return [offer for offer in self.offers if offer.fits(need)]
+        found = [
+            offer
+            for rack_scope in self.racks
+            if rack_scope.count(need)
+            for offer in rack_scope.list_fitting(need)
+        ]
+        found.sort(key=lambda offer: offer.number)
         return found
 
-    def holds_when_empty(self, spec: StepSpec, count: int) -> bool:
-        """Whether `count` tasks would fit if nothing else ran there."""
-        if spec.need not in self._held_when_empty:
-            capacities = (room.state.executor.capacity for room in self.rooms)
-            self._held_when_empty[spec.need] = sum(count_fits(spec.need, c) for c in capacities)
-        return self._held_when_empty[spec.need] >= count
+    def fits_when_empty(self, spec: StepSpec, count: int) -> bool:
+        """Whether `count` tasks would fit if nothing else ran on the executors."""
+        if spec.need not in self._fits_when_empty:
+            capacities = (offer.state.executor.capacity for offer in self.offers)
+            self._fits_when_empty[spec.need] = sum(count_fits(spec.need, c) for c in capacities)
+        return self._fits_when_empty[spec.need] >= count
 
 
-def make_rooms(states: Iterable[ExecutorState], now: float) -> dict[str, list[Room]]:
-    """Return the rooms of the executors that accept work, by pool."""
-    pools: dict[str, tuple[Changes, dict[str, Changes], list[Room]]] = {}
+def make_offers(states: Iterable[ExecutorState], now: float) -> dict[str, list[Offer]]:
+    """Return the offers of the executors that accept work, by pool."""
+    pools: dict[str, tuple[ChangeCounter, dict[str, ChangeCounter], list[Offer]]] = {}
     for number, state in enumerate(states):
         if not state.accepts_work(now):
             continue
         executor = state.executor
         pool = pools.get(executor.pool)
         if pool is None:
-            pool = pools[executor.pool] = (Changes(), {}, [])
-        whole, racks, rooms = pool
+            pool = pools[executor.pool] = (ChangeCounter(), {}, [])
+        pool_changes, racks, offers = pool
         rack = racks.get(executor.rack)
         if rack is None:
-            rack = racks[executor.rack] = Changes(whole)
-        rooms.append(Room(state, state.free, state.room_soon(), number, rack))
-    return {name: rooms for name, (_, _, rooms) in pools.items()}
+            rack = racks[executor.rack] = ChangeCounter(pool_changes)
+        offers.append(Offer(state, state.free, state.room_soon(), number, rack))
+    return {name: offers for name, (_, _, offers) in pools.items()}
 
 
-def group_by_rack(rooms: Iterable[Room]) -> dict[str, list[Room]]:
-    """Return the rooms of each rack."""
-    racks: dict[str, list[Room]] = {}
-    for room in rooms:
-        racks.setdefault(room.state.executor.rack, []).append(room)
+def group_by_rack(offers: Iterable[Offer]) -> dict[str, list[Offer]]:
+    """Return the offers of each rack."""
+    racks: dict[str, list[Offer]] = {}
+    for offer in offers:
+        racks.setdefault(offer.state.executor.rack, []).append(offer)
     return racks
 
 
@@ -200,25 +206,25 @@
     return resources.cpu + 1000 * ACCELERATOR_IN_CORES * resources.accelerators
 
 
-def count_fits(need: Resources, room: Resources) -> int:
-    """Return how many times `need` fits in `room`; below 0 where more is promised than there."""
-    fits = COUNT_OF_NOTHING
-    for want, have in zip(need, room, strict=True):
+def count_fits(need: Resources, available: Resources) -> int:
+    """Return how many times `need` fits in `available`, which may be negative."""
+    fits = UNLIMITED_FITS
+    for want, have in zip(need, available, strict=True):
         if want > 0:
             fits = min(fits, have // want)
     return fits
 
 
-def count_free(rooms: Iterable[Room], need: Resources) -> int:
-    """Return how many tasks fit now in the rooms where one more fits."""
-    return sum(count_fits(need, room.now) for room in rooms if room.fits(need))
+def count_free(offers: Iterable[Offer], need: Resources) -> int:
+    """Return how many tasks fit now, apart from resources promised to others."""
+    return sum(count_fits(need, offer.free) for offer in offers if offer.fits(need))
 
 
-def count_with_reserved(rooms: Iterable[Room], need: Resources) -> int:
-    """Return how many tasks would fit now if no room were kept for gangs that wait."""
-    return sum(max(0, count_fits(need, room.now.plus(room.reserved))) for room in rooms)
+def count_with_reserved(offers: Iterable[Offer], need: Resources) -> int:
+    """Return how many tasks would fit now without reservations for gangs."""
+    return sum(max(0, count_fits(need, offer.free.plus(offer.reserved))) for offer in offers)
 
 
-def count_members(rooms: Iterable[Room], need: Resources) -> int:
-    """Return how many tasks fit now, whatever was promised to others."""
-    return sum(max(0, count_fits(need, room.now)) for room in rooms)
+def count_free_now(offers: Iterable[Offer], need: Resources) -> int:
+    """Return how many tasks fit now, including resources promised to others."""
+    return sum(max(0, count_fits(need, offer.free)) for offer in offers)
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/sharing.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/sharing.py
@@ -1,7 +1,7 @@
-"""Which executors hold lasting tasks that serve, and which hold tasks that fill.
+"""Separation of serving tasks from best-effort tasks.
 
-What fills disturbs what serves beside it, by amounts that nobody knows beforehand, so the two
-are kept on different executors.
+Best-effort tasks slow serving tasks on the same executor by an unknown amount, so the two kinds
+run on different executors.
 """
 
 from __future__ import annotations
@@ -11,15 +11,15 @@
 
 from .model import StepSpec
 from .progress import Attempt, JobState, Phase, StepState
-from .room import Room
+from .room import Offer
 
 
-class Neighbours:
-    """Serving and filling tasks by executor, with those that a plan adds."""
+class Colocation:
+    """The serving and best-effort tasks on each executor, including those that a plan adds."""
 
     def __init__(self, jobs: Iterable[JobState]) -> None:
         self._serving: set[str] = set()
-        self._filling: dict[str, list[Attempt]] = defaultdict(list)
+        self._best_effort: dict[str, list[Attempt]] = defaultdict(list)
         for job in jobs:
             for step in job.steps:
                 if step.spec.lasting:
@@ -30,49 +30,49 @@
             if task.attempt is None:
                 continue
             if step.spec.fills:
-                self._filling[task.attempt.executor].append(task.attempt)
+                self._best_effort[task.attempt.executor].append(task.attempt)
             elif step.spec.serves:
                 self._serving.add(task.attempt.executor)
 
-    def leave_apart(self, spec: StepSpec, rooms: list[Room]) -> list[Room]:
-        """Return the rooms in which a step's tasks neither disturb nor are disturbed."""
+    def filter_compatible(self, spec: StepSpec, offers: list[Offer]) -> list[Offer]:
+        """Return the offers on which a step's tasks neither disturb others nor are disturbed."""
         if spec.fills:
-            return [room for room in rooms if room.state.id not in self._serving]
+            return [offer for offer in offers if offer.state.id not in self._serving]
         if spec.serves:
-            return [room for room in rooms if not self._filling.get(room.state.id)]
-        return rooms
+            return [offer for offer in offers if not self._best_effort.get(offer.state.id)]
+        return offers
 
-    def note_placed(self, spec: StepSpec, rooms: Iterable[Room]) -> None:
-        """Take in what a plan starts."""
+    def record_placed(self, spec: StepSpec, offers: Iterable[Offer]) -> None:
+        """Record the tasks that a plan starts."""
         if spec.serves:
-            self._serving.update(room.state.id for room in rooms)
+            self._serving.update(offer.state.id for offer in offers)
         elif spec.fills:
-            for room in rooms:
-                self._filling.setdefault(room.state.id, [])
+            for offer in offers:
+                self._best_effort.setdefault(offer.state.id, [])
 
-    def find_in_the_way(self, spec: StepSpec, rooms: list[Room], count: int) -> list[Attempt]:
-        """Return what fills at `count` executors that would hold a serving task of the step."""
+    def find_blocking(self, spec: StepSpec, offers: list[Offer], count: int) -> list[Attempt]:
+        """Return the best-effort attempts that block a serving task on up to `count` executors."""
         found: list[Attempt] = []
-        for room in rooms:
-            filling = self._filling.get(room.state.id)
-            if count and filling and spec.need.fits_in(room.soon):
-                found += filling
+        for offer in offers:
+            best_effort = self._best_effort.get(offer.state.id)
+            if count and best_effort and spec.need.fits_in(offer.projected):
+                found += best_effort
                 count -= 1
         return found
 
 
-def may_be_taken_away(step: StepState, doomed: set[int]) -> bool:
-    """Whether one more of a lasting step's tasks may be away by the system's doing.
+def is_within_disruption_budget(step: StepState, victim_ids: set[int]) -> bool:
+    """Whether one more task of a lasting step may be stopped within its `may_miss` budget.
 
-    `doomed` are the ids of attempts that are to be stopped as well.
+    `victim_ids` are the ids of attempts that are stopped as well.
     """
     if not step.spec.lasting or not step.spec.may_miss:
         return True
-    present = sum(1 for task in step.tasks if _is_at_work(task.attempt, doomed))
-    return len(step.tasks) - present < step.spec.may_miss
+    available = sum(1 for task in step.tasks if _is_available(task.attempt, victim_ids))
+    return len(step.tasks) - available < step.spec.may_miss
 
 
-def _is_at_work(attempt: Attempt | None, doomed: set[int]) -> bool:
-    if attempt is None or id(attempt) in doomed:
+def _is_available(attempt: Attempt | None, victim_ids: set[int]) -> bool:
+    if attempt is None or id(attempt) in victim_ids:
         return False
     return attempt.phase is Phase.RUNNING and attempt.percent >= 100
--- a/packages/heronthread-dispatch/tests/test_order.py
+++ b/packages/heronthread-dispatch/tests/test_order.py
@@ -1,10 +1,10 @@
-"""Whose turn it is: urgent first, guaranteed before other, no stops for what is worth nothing."""
+"""Planning order: urgent before ordinary work, guaranteed before other, no useless preemption."""
 
 from dataclasses import replace
 
 import pytest
 from heronthread_dispatch.model import URGENT, JobSpec, Queue, Resources, StepSpec
-from heronthread_dispatch.order import Turn, rank_step
+from heronthread_dispatch.order import StepRank, rank_step
 from heronthread_dispatch.policy import DEFAULT_POLICY
 from heronthread_dispatch.progress import make_job
 
@@ -18,7 +18,7 @@
 
 def _rank(
     queue: Queue, asked_s_ago: float, guaranteed: bool = False, hopeless_last: bool = True, **more
-) -> Turn:
+) -> StepRank:
     step = StepSpec(2, Resources(1000, 100, 1), WORK_S, gang=True, **more)
     spec = JobSpec("j", queue, "customer", "", (step,), NOW - asked_s_ago)
     job = make_job(spec, NOW)
@@ -30,30 +30,30 @@
     guaranteed = _rank(URGENT_QUEUE, 1.0, guaranteed=True)
     urgent = _rank(URGENT_QUEUE, 1.0)
     ordinary = _rank(ORDINARY_QUEUE, 1.0)
-    assert guaranteed.order < urgent.order < ordinary.order
-    assert (guaranteed.may_take_back, urgent.may_take_back) == (True, True)
-    assert not ordinary.may_take_back
+    assert guaranteed.sort_key < urgent.sort_key < ordinary.sort_key
+    assert (guaranteed.may_preempt, urgent.may_preempt) == (True, True)
+    assert not ordinary.may_preempt
 
 
 @pytest.mark.parametrize(
-    ("asked_s_ago", "may_take_back"), [(LAST_USEFUL_S - 0.1, True), (LAST_USEFUL_S + 0.1, False)]
+    ("asked_s_ago", "may_preempt"), [(LAST_USEFUL_S - 0.1, True), (LAST_USEFUL_S + 0.1, False)]
 )
-def test_urgent_work_that_earns_nothing_any_more_takes_nothing_back(
-    asked_s_ago: float, may_take_back: bool
+def test_urgent_work_that_is_no_longer_useful_preempts_nothing(
+    asked_s_ago: float, may_preempt: bool
 ) -> None:
-    turn = _rank(URGENT_QUEUE, asked_s_ago)
-    assert turn.may_take_back is may_take_back
-    assert (turn.order < _rank(ORDINARY_QUEUE, 1.0).order) is may_take_back
+    rank = _rank(URGENT_QUEUE, asked_s_ago)
+    assert rank.may_preempt is may_preempt
+    assert (rank.sort_key < _rank(ORDINARY_QUEUE, 1.0).sort_key) is may_preempt
 
 
-def test_a_guarantee_holds_whatever_the_time_is() -> None:
-    turn = _rank(URGENT_QUEUE, LAST_USEFUL_S + 50.0, guaranteed=True)
-    assert turn.may_take_back
-    assert turn.order < _rank(URGENT_QUEUE, 0.0).order
+def test_guarantee_does_not_depend_on_lateness() -> None:
+    rank = _rank(URGENT_QUEUE, LAST_USEFUL_S + 50.0, guaranteed=True)
+    assert rank.may_preempt
+    assert rank.sort_key < _rank(URGENT_QUEUE, 0.0).sort_key
 
 
-def test_what_can_still_be_useful_comes_before_what_cannot() -> None:
+def test_work_that_can_still_be_useful_comes_first() -> None:
     late = _rank(URGENT_QUEUE, LAST_USEFUL_S + 1.0)
-    assert _rank(ORDINARY_QUEUE, 0.0).order < late.order
+    assert _rank(ORDINARY_QUEUE, 0.0).sort_key < late.sort_key
     fills = _rank(ORDINARY_QUEUE, 0.0, fills=True)
-    assert late.order < fills.order
+    assert late.sort_key < fills.sort_key
--- a/packages/heronthread-dispatch/tests/test_planner.py
+++ b/packages/heronthread-dispatch/tests/test_planner.py
@@ -1,4 +1,4 @@
-"""Plans at the larger size: the same with and without what is remembered within one plan."""
+"""Plans for larger pools, plans made in parts, and placement of pinned tasks."""
 
 import random
 from dataclasses import replace
@@ -43,25 +43,25 @@
     return starts, {(stop.task.job, stop.task.member) for stop in plan.stops}
 
 
-class _Forgetful(dict):
-    """Remembers nothing, so that each gang is tried."""
+class _DiscardingDict(dict):
+    """Discards every entry, so that each gang is tried."""
 
     def __setitem__(self, key: object, value: object) -> None:
         return
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_remembering_what_did_not_fit_changes_no_decision(seed: int) -> None:
+def test_caching_gangs_that_did_not_fit_changes_no_decision(seed: int) -> None:
     states, jobs = _make(seed, busy=0.25 * (seed % 5))
-    usual = Planner(jobs, states, DESIRED, NOW, NOW).make()
+    expected = Planner(jobs, states, DESIRED, NOW, NOW).make()
     states, jobs = _make(seed, busy=0.25 * (seed % 5))
     planner = Planner(jobs, states, DESIRED, NOW, NOW)
-    planner._gangs._too_large = _Forgetful()
-    assert _describe(planner.make()) == _describe(usual)
+    planner._gangs._min_unplaceable = _DiscardingDict()
+    assert _describe(planner.make()) == _describe(expected)
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_no_plan_overfills_an_executor(seed: int) -> None:
+def test_plan_never_exceeds_an_executors_capacity(seed: int) -> None:
     states, jobs = _make(seed, busy=0.5)
     plan = Planner(jobs, states, DESIRED, NOW, NOW).make()
     left = {state.id: state.free for state in states}
@@ -73,10 +73,10 @@
         assert not group[0].step.spec.gang or len(group) == len(group[0].step.tasks)
 
 
-def test_a_plan_that_is_cut_short_goes_on_where_it_stopped(
+def test_interrupted_plan_resumes_where_it_stopped(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """With no time at all one step is served a call, and the parts are the plan in one go."""
+    """With a budget of zero each call plans one step; the parts equal a plan made in one call."""
     monkeypatch.setattr(trio, "current_time", lambda: NOW)
     states, jobs = make_state(12, 20, "free", 1)
     whole = _list_starts(Planner(jobs, states, DESIRED, NOW, NOW).make())
@@ -90,7 +90,7 @@
     assert parts == whole
 
 
-def test_what_has_changed_between_the_parts_of_a_plan_is_taken_in(
+def test_resumed_plan_applies_changes_since_the_last_call(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(trio, "current_time", lambda: NOW)
@@ -108,8 +108,8 @@
 
 
 @pytest.mark.parametrize("gang", [False, True])
-def test_a_stray_run_counts_against_its_steps_limit_until_it_has_ended(gang: bool) -> None:
-    """One executor is to hold one task of the step, and still holds an earlier run of one."""
+def test_stray_run_counts_against_the_spread_limit_until_it_ends(gang: bool) -> None:
+    """An executor that still holds an earlier run of a step with a spread limit of one is full."""
     states = make_executors(3)
     need = Resources(100, 100, 1)
     step = StepSpec(2, need, 1.0, gang=gang, spread_limit=1)
@@ -134,14 +134,14 @@
 
 
 def _plan_pinned(job: JobState, states: list, pins: dict[int, str]) -> dict[int, str]:
-    """Return where the tasks of a job's step go, of which some may go to one executor alone."""
+    """Return the executor of each started task, given the executors that some are pinned to."""
     keys = {TaskKey("a", 0, index): name for index, name in pins.items()}
     plan = Planner([job], states, DESIRED, NOW, NOW, pins=keys).make()
     return {index: executor for _, index, executor in _list_starts(plan)}
 
 
 @pytest.mark.parametrize("gang", [False, True])
-def test_a_pinned_task_goes_to_its_executor_alone(gang: bool) -> None:
+def test_pinned_task_starts_only_on_its_executor(gang: bool) -> None:
     states = make_executors(4)
     placed = _plan_pinned(_make_pinned(3, gang=gang), states, {1: states[3].id})
     assert placed[1] == states[3].id
@@ -149,14 +149,14 @@
 
 
 @pytest.mark.parametrize("gang", [False, True])
-def test_a_task_that_may_go_nowhere_waits_and_its_gang_with_it(gang: bool) -> None:
+def test_task_pinned_to_no_executor_waits_with_its_gang(gang: bool) -> None:
     placed = _plan_pinned(_make_pinned(3, gang=gang), make_executors(4), {1: NOWHERE})
     assert sorted(placed) == ([] if gang else [0, 2])
 
 
 @pytest.mark.parametrize("gang", [False, True])
-def test_a_pinned_task_waits_where_its_executor_takes_none(gang: bool) -> None:
-    """It rests: it takes what may go nowhere else. It is silent, or full: it takes nothing."""
+def test_pinned_task_waits_while_its_executor_accepts_none(gang: bool) -> None:
+    """A resting executor still accepts pinned tasks; a silent or full one accepts none."""
     states = make_executors(4)
     pins = {1: states[3].id}
     states[3].rest_until = NOW + 5
@@ -168,8 +168,8 @@
 
 
 @pytest.mark.parametrize("gang", [False, True])
-def test_a_pinned_task_goes_by_pool_label_and_limit_like_any_other(gang: bool) -> None:
-    """Another life of its executor may be of another kind, and its queue of another pool."""
+def test_pinned_task_obeys_pool_label_and_spread_limit(gang: bool) -> None:
+    """A later life of the executor may have other labels or be in another pool."""
     states = make_executors(4)
     pins = {1: states[3].id}
     assert 1 not in _plan_pinned(_make_pinned(3, gang=gang, label="other"), states, pins)
--- a/packages/heronthread-dispatch/tests/test_room.py
+++ b/packages/heronthread-dispatch/tests/test_room.py
@@ -1,10 +1,10 @@
-"""What is kept for a rack holds until one of its rooms changes, and no longer."""
+"""Offers and scopes: cached results are recomputed exactly when an offer of the rack changes."""
 
 import pytest
 from heronthread_dispatch.fleet import ExecutorState
 from heronthread_dispatch.headroom import Headroom
 from heronthread_dispatch.model import NOTHING, Executor, Resources, StepSpec
-from heronthread_dispatch.room import Room, Scope, count_fits, make_rooms
+from heronthread_dispatch.room import Offer, Scope, count_fits, make_offers
 
 NOW = 10.0
 CAPACITY = Resources(8_000, 8_000, 8)
@@ -24,106 +24,106 @@
 
 
 def _make_scope(racks: dict[str, int]) -> Scope:
-    return Scope(make_rooms(_make_states(racks), NOW)["pool"])
+    return Scope(make_offers(_make_states(racks), NOW)["pool"])
 
 
-def test_executors_that_take_no_work_have_no_room() -> None:
+def test_executors_that_accept_no_work_make_no_offer() -> None:
     states = _make_states({"a": 3})
     states[1].leaves_at = NOW + 1
-    rooms = make_rooms(states, NOW)["pool"]
-    assert [(room.state.id, room.number) for room in rooms] == [("a-0", 0), ("a-2", 2)]
+    offers = make_offers(states, NOW)["pool"]
+    assert [(offer.state.id, offer.number) for offer in offers] == [("a-0", 0), ("a-2", 2)]
 
 
 def test_headroom_and_racks_count_without_evacuated_executors() -> None:
-    """The emptiest rack lies in an evacuated domain: none of it is kept free, or found by gangs."""
+    """Evacuated executors in the emptiest rack are neither kept free nor offered to gangs."""
     states = _make_states({"a": 2, "b": 2})
     for state in states[:2]:
         state.evacuated = True
     for state in states[2:]:
         state.free = CAPACITY.minus(ONE)
-    rooms = make_rooms(states, NOW)
-    assert Headroom(rooms, {"pool": 8}).choose({}) == {"b-0"}
-    scope = Scope(rooms["pool"])
-    assert [part.rooms[0].state.executor.rack for part in scope.parts] == ["b"]
+    offers = make_offers(states, NOW)
+    assert Headroom(offers, {"pool": 8}).choose({}) == {"b-0"}
+    scope = Scope(offers["pool"])
+    assert [rack_scope.offers[0].state.executor.rack for rack_scope in scope.racks] == ["b"]
     assert scope.count(ONE) == 14
-    assert not scope.holds_when_empty(StepSpec(17, ONE, 1.0), 17)
+    assert not scope.fits_when_empty(StepSpec(17, ONE, 1.0), 17)
 
 
-def test_what_is_kept_is_worked_out_again_only_after_a_change_in_its_rack() -> None:
+def test_cached_result_is_recomputed_only_after_a_change_in_its_rack() -> None:
     scope = _make_scope({"a": 2, "b": 2})
     calls: list[str] = []
 
-    def work_out(rooms: list[Room]) -> int:
-        calls.append(rooms[0].state.executor.rack)
+    def compute(offers: list[Offer]) -> int:
+        calls.append(offers[0].state.executor.rack)
         return len(calls)
 
     def ask() -> None:
-        for part in scope.parts:
-            part.keep("question", work_out)
+        for rack_scope in scope.racks:
+            rack_scope.cached("question", compute)
 
     ask()
     ask()
     assert calls == ["a", "b"]
-    scope.rooms[3].take(ONE)
+    scope.offers[3].allocate(ONE)
     ask()
     assert calls == ["a", "b", "b"]
-    scope.rooms[0].await_stop(ONE)
+    scope.offers[0].add_pending_stop(ONE)
     ask()
     assert calls == ["a", "b", "b", "a"]
 
 
-def test_counts_follow_what_is_taken_and_promised() -> None:
+def test_counts_follow_allocations_and_pending_stops() -> None:
     scope = _make_scope({"a": 1, "b": 1})
     assert scope.count(ONE) == 16
     assert scope.free_accelerators() == 16
-    room = scope.rooms[0]
+    offer = scope.offers[0]
     for _ in range(8):
-        room.take(ONE)
+        offer.allocate(ONE)
     assert scope.count(ONE) == 8
     assert [r.state.id for r in scope.list_fitting(ONE)] == ["b-0"]
-    room.await_stop(ONE)
+    offer.add_pending_stop(ONE)
     assert scope.count(ONE) == 8, "what is being stopped is not free yet"
-    assert room.soon.accelerators == 1
+    assert offer.projected.accelerators == 1
 
 
-def test_a_rack_knows_its_part_and_its_rooms() -> None:
+def test_scope_finds_racks_and_offers() -> None:
     scope = _make_scope({"a": 2, "b": 1})
-    part = scope.find_part("b")
-    assert part is not None and part.is_rack and part.parts == [part]
-    assert scope.find_part("c") is None
-    assert scope.find_room("a-1") is scope.rooms[1]
-    assert scope.find_room("other") is None
+    rack_scope = scope.find_rack("b")
+    assert rack_scope is not None and rack_scope.is_rack and rack_scope.racks == [rack_scope]
+    assert scope.find_rack("c") is None
+    assert scope.find_offer("a-1") is scope.offers[1]
+    assert scope.find_offer("other") is None
 
 
-def test_whether_a_gang_fits_an_empty_rack_depends_on_capacity_alone() -> None:
+def test_fit_in_an_empty_rack_depends_only_on_capacity() -> None:
     scope = _make_scope({"a": 2})
     step = StepSpec(16, ONE, 1.0, gang=True)
-    for room in scope.rooms:
-        room.take(CAPACITY)
-    assert scope.holds_when_empty(step, 16)
-    assert not scope.holds_when_empty(step, 17)
+    for offer in scope.offers:
+        offer.allocate(CAPACITY)
+    assert scope.fits_when_empty(step, 16)
+    assert not scope.fits_when_empty(step, 17)
 
 
-def test_a_room_shrinks_and_never_grows() -> None:
-    room = _make_scope({"a": 1}).rooms[0]
-    room.take(ONE)
-    room.shrink(CAPACITY)
-    assert room.now == CAPACITY.minus(ONE)
-    room.shrink(Resources(-1, -1, -1))
-    assert not room.fits(NOTHING)
+def test_limit_never_increases_an_offer() -> None:
+    offer = _make_scope({"a": 1}).offers[0]
+    offer.allocate(ONE)
+    offer.limit_to(CAPACITY)
+    assert offer.free == CAPACITY.minus(ONE)
+    offer.limit_to(Resources(-1, -1, -1))
+    assert not offer.fits(NOTHING)
 
 
 @pytest.mark.parametrize(
-    ("need", "room", "fits"),
+    ("need", "available", "fits"),
     [
         (Resources(1_000, 0, 2), Resources(8_000, 0, 8), 4),
         (Resources(0, 500, 0), Resources(0, 1_700, 0), 3),
         (Resources(0, 0, 1), Resources(0, 0, -1), -1),
     ],
 )
-def test_how_often_a_need_fits(need: Resources, room: Resources, fits: int) -> None:
-    assert count_fits(need, room) == fits
+def test_count_fits(need: Resources, available: Resources, fits: int) -> None:
+    assert count_fits(need, available) == fits
 
 
-def test_what_asks_for_nothing_fits_any_number_of_times() -> None:
+def test_empty_requirement_fits_without_limit() -> None:
     assert count_fits(NOTHING, NOTHING) >= 1_000_000
--- a/tests/plain_planner/__init__.py
+++ b/tests/plain_planner/__init__.py
@@ -1,4 +1,4 @@
-"""The planner as it was before its indexes: it looks at everything for each waiting step.
+"""A simple reference planner without indexes, which examines every executor for each waiting step.
 
-What the indexed planner decides is compared with it; it is in no program.
+The tests compare the planner's decisions with it; it is not part of the product.
 """
--- a/tests/plain_planner/gangs.py
+++ b/tests/plain_planner/gangs.py
@@ -1,4 +1,4 @@
-"""Where gangs go: all members at once, in one rack where that matters, and room kept for them."""
+"""Gang placement: all members at once, with reservations for gangs that cannot start yet."""
 
 from __future__ import annotations
 
@@ -9,50 +9,52 @@
 from heronthread_dispatch.policy import Policy
 from heronthread_dispatch.progress import StepState, TaskState
 
-from .room import Room, count_members, group_by_rack, holds_when_empty
+from .room import Offer, count_free_now, fits_when_empty, group_by_rack
 
-SPREAD_PATIENCE_S = 1.5
-RESERVATIONS = 2
+SPREAD_WAIT_S = 1.5
+MAX_RESERVATIONS = 2
 
 
-class Gangs:
-    """Places the gangs of one plan; `keeps_out` tells who leaves the headroom alone."""
+class GangPlacer:
+    """Places the gangs of one plan."""
 
-    def __init__(self, now: float, policy: Policy, keeps_out: Callable[[Candidate], bool]) -> None:
+    def __init__(
+        self, now: float, policy: Policy, avoids_headroom: Callable[[Candidate], bool]
+    ) -> None:
         self._now = now
         self._policy = policy
-        self._keeps_out = keeps_out
-        self._too_large: dict[tuple[object, ...], int] = {}
+        self._avoids_headroom = avoids_headroom
+        self._min_unplaceable: dict[tuple[object, ...], int] = {}
         self._reserved = 0
 
-    def prefer(self, room: Room) -> tuple[bool, int, int]:
-        """Sort sound executors first, and of those the fullest."""
-        return (room.state.slow_until > self._now, room.now.accelerators, room.now.cpu)
+    def packing_order(self, offer: Offer) -> tuple[bool, int, int]:
+        """Return a sort key: healthy executors first, and of those the fullest."""
+        return (offer.state.slow_until > self._now, offer.free.accelerators, offer.free.cpu)
 
     def place(
-        self, candidate: Candidate, rooms: list[Room], held: dict[str, int]
-    ) -> list[tuple[TaskState, Room]]:
-        """Take room for all members at once; nothing if they do not all fit."""
-        scopes = self.list_scopes(candidate, rooms)
-        key, count = self._key(candidate, rooms, scopes), len(candidate.tasks)
-        if count >= self._too_large.get(key, count + 1):
+        self, candidate: Candidate, offers: list[Offer], held: dict[str, int]
+    ) -> list[tuple[TaskState, Offer]]:
+        """Allocate capacity for all members at once, or for none if they do not all fit."""
+        scopes = self.list_scopes(candidate, offers)
+        key, count = self._key(candidate, offers, scopes), len(candidate.tasks)
+        if count >= self._min_unplaceable.get(key, count + 1):
             return []
         best = self._best_fit(candidate, scopes, held)
         if best is None:
-            if not self._avoided_by_any(candidate) and not held:
-                self._too_large[key] = count
+            if not self._list_avoided(candidate) and not held:
+                self._min_unplaceable[key] = count
             return []
-        for room in best:
-            room.take(candidate.step.spec.need)
+        for offer in best:
+            offer.allocate(candidate.step.spec.need)
         return list(zip(candidate.tasks, best, strict=True))
 
     def _key(
-        self, candidate: Candidate, rooms: list[Room], scopes: list[list[Room]]
+        self, candidate: Candidate, offers: list[Offer], scopes: list[list[Offer]]
     ) -> tuple[object, ...]:
-        """Return what decides, beside a gang's size, where it may go in this plan.
+        """Return everything but a gang's size that determines where it fits in this plan.
 
-        What is free only shrinks while a plan is made, so where one did not fit, no larger
-        one with the same key does.
+        Free capacity only shrinks while a plan is made, so a gang does not fit if one with the
+        same key and no more members did not.
         """
         spec = candidate.step.spec
         return (
@@ -65,48 +67,45 @@
             spec.serves,
             spec.fills,
             candidate.queue.priority == URGENT,
-            self._keeps_out(candidate),
-            len(rooms),
+            self._avoids_headroom(candidate),
+            len(offers),
             len(scopes),
             candidate.key if candidate.queue.approval else None,
-            candidate.named,
+            candidate.allowed_executors,
         )
 
-    def list_scopes(self, candidate: Candidate, rooms: list[Room]) -> list[list[Room]]:
-        """Return the sets of executors that a gang may use, the preferred ones first."""
+    def list_scopes(self, candidate: Candidate, offers: list[Offer]) -> list[list[Offer]]:
+        """Return the sets of executors that a gang may use, preferred ones first."""
         spec = candidate.step.spec
-        everywhere = [rooms]
+        everywhere = [offers]
         if not spec.same_rack and not spec.data_rack:
             return everywhere
-        racks = group_by_rack(rooms)
+        racks = group_by_rack(offers)
         if spec.data_rack:
             scopes = [racks[spec.data_rack]] if spec.data_rack in racks else []
             others = [r for name, r in racks.items() if name != spec.data_rack]
         else:
             scopes, others = list(racks.values()), []
-        possible = any(holds_when_empty(r, spec, len(candidate.tasks)) for r in scopes)
+        possible = any(fits_when_empty(r, spec, len(candidate.tasks)) for r in scopes)
         if not possible:
-            return [*scopes, *others, rooms]
-        if (
-            candidate.waited_s(self._now) >= SPREAD_PATIENCE_S
-            and candidate.queue.priority == URGENT
-        ):
-            return [*scopes, *others, rooms]
+            return [*scopes, *others, offers]
+        if candidate.waited_s(self._now) >= SPREAD_WAIT_S and candidate.queue.priority == URGENT:
+            return [*scopes, *others, offers]
         return scopes
 
     def _best_fit(
-        self, candidate: Candidate, scopes: list[list[Room]], held: dict[str, int]
-    ) -> list[Room] | None:
+        self, candidate: Candidate, scopes: list[list[Offer]], held: dict[str, int]
+    ) -> list[Offer] | None:
         spec = candidate.step.spec
-        best: tuple[float, list[Room]] | None = None
+        best: tuple[float, list[Offer]] | None = None
         for scope in scopes:
             chosen = self._fit_in_scope(candidate, scope, held)
             if chosen is None:
                 continue
             if not spec.same_rack:
                 return chosen
-            left = float(sum(room.now.accelerators for room in scope))
-            left += 1e3 * sum(room.state.slow_until > self._now for room in chosen)
+            left = float(sum(offer.free.accelerators for offer in scope))
+            left += 1e3 * sum(offer.state.slow_until > self._now for offer in chosen)
             if len(scopes) > 1 and len(group_by_rack(chosen)) > 1:
                 left += 1e6
             if best is None or left < best[0]:
@@ -114,56 +113,56 @@
         return best[1] if best else None
 
     def _fit_in_scope(
-        self, candidate: Candidate, scope: list[Room], held: dict[str, int]
-    ) -> list[Room] | None:
-        """Return a room for each member, tightest first, or None; takes nothing."""
+        self, candidate: Candidate, scope: list[Offer], held: dict[str, int]
+    ) -> list[Offer] | None:
+        """Return an offer for each member, tightest first, or None; allocates nothing."""
         spec = candidate.step.spec
         wanted = len(candidate.tasks)
-        avoided = self._avoided_by_any(candidate)
+        avoided = self._list_avoided(candidate)
         fitting = [r for r in scope if r.fits(spec.need) and r.state.id not in avoided]
-        if count_members(fitting, spec.need) < wanted:
+        if count_free_now(fitting, spec.need) < wanted:
             return None
-        chosen: list[Room] = []
-        for room in sorted(fitting, key=self.prefer):
-            now, soon, here = room.now, room.soon, held.get(room.state.id, 0)
-            while len(chosen) < wanted and spec.need.fits_in(now) and spec.need.fits_in(soon):
+        chosen: list[Offer] = []
+        for offer in sorted(fitting, key=self.packing_order):
+            now, projected, here = offer.free, offer.projected, held.get(offer.state.id, 0)
+            while len(chosen) < wanted and spec.need.fits_in(now) and spec.need.fits_in(projected):
                 if spec.spread_limit and here >= spec.spread_limit:
                     break
-                chosen.append(room)
+                chosen.append(offer)
                 here += 1
-                now, soon = now.minus(spec.need), soon.minus(spec.need)
+                now, projected = now.minus(spec.need), projected.minus(spec.need)
         return chosen if len(chosen) == wanted else None
 
-    def reserve(self, candidate: Candidate, rooms: list[Room]) -> None:
-        """Keep what is free in one rack for a gang that can't start yet."""
-        if self._reserved >= RESERVATIONS or not self._policy.reserve:
+    def reserve(self, candidate: Candidate, offers: list[Offer]) -> None:
+        """Reserve free capacity in one rack for a gang that cannot start yet."""
+        if self._reserved >= MAX_RESERVATIONS or not self._policy.reserve:
             return
         self._reserved += 1
         spec = candidate.step.spec
-        scopes = self.list_scopes(candidate, rooms)
+        scopes = self.list_scopes(candidate, offers)
         if not scopes:
             return
         step = candidate.step
-        scope = self._chosen_scope(step, scopes)
+        scope = self._select_scope(step, scopes)
         left = len(candidate.tasks)
-        for room in sorted(scope, key=self.prefer, reverse=True):
-            while left and spec.need.fits_in(room.state.executor.capacity):
-                if not room.fits(spec.need):
+        for offer in sorted(scope, key=self.packing_order, reverse=True):
+            while left and spec.need.fits_in(offer.state.executor.capacity):
+                if not offer.fits(spec.need):
                     break
-                room.take(spec.need)
+                offer.allocate(spec.need)
                 left -= 1
 
-    def _chosen_scope(self, step: StepState, scopes: list[list[Room]]) -> list[Room]:
-        """Return the scope chosen before, or the one with most room."""
+    def _select_scope(self, step: StepState, scopes: list[list[Offer]]) -> list[Offer]:
+        """Return the scope chosen by an earlier plan, or the one with most free capacity."""
         for scope in scopes:
             if scope and scope[0].state.executor.rack == step.chosen_rack:
                 return scope
-        best = max(scopes, key=lambda scope: count_members(scope, step.spec.need))
+        best = max(scopes, key=lambda scope: count_free_now(scope, step.spec.need))
         step.chosen_rack = best[0].state.executor.rack if best else None
         return best
 
-    def _avoided_by_any(self, candidate: Candidate) -> set[str]:
-        """Return the executors that some task of a candidate is to avoid for now."""
+    def _list_avoided(self, candidate: Candidate) -> set[str]:
+        """Return the executors that some task of a candidate avoids for now."""
         return {
             executor
             for task in candidate.tasks
--- a/tests/plain_planner/guarantee.py
+++ b/tests/plain_planner/guarantee.py
@@ -1,4 +1,4 @@
-"""Which urgent jobs lie within their tenants' guarantees."""
+"""Selection of the urgent jobs covered by their customers' guarantees."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 def find_guaranteed(jobs: list[JobState], desired: DesiredState, wall_now: float) -> set[str]:
-    """Return the urgent jobs that lie within their tenants' guarantees, oldest first."""
+    """Return the urgent jobs covered by their customers' guarantees, oldest jobs first."""
     left = {tenant.name: tenant.guaranteed for tenant in desired.tenants}
     found = set()
     for job in sorted(jobs, key=lambda j: j.spec.accepted_at):
@@ -16,8 +16,8 @@
         if not job.is_due(wall_now):
             continue
         wanted = max(s.spec.count * s.spec.need.accelerators for s in job.steps)
-        room = left.get(job.spec.tenant, 0)
-        if wanted <= room:
-            left[job.spec.tenant] = room - wanted
+        offer = left.get(job.spec.tenant, 0)
+        if wanted <= offer:
+            left[job.spec.tenant] = offer - wanted
             found.add(job.spec.id)
     return found
--- a/tests/plain_planner/room.py
+++ b/tests/plain_planner/room.py
@@ -1,34 +1,34 @@
-"""What is left at each executor while a plan is made."""
+"""Helpers that count how many tasks fit on executors."""
 
 from __future__ import annotations
 
 from heronthread_dispatch.model import Resources, StepSpec
-from heronthread_dispatch.room import Room
+from heronthread_dispatch.room import Offer
 
 
-def group_by_rack(rooms: list[Room]) -> dict[str, list[Room]]:
-    """Return the rooms of each rack."""
-    racks: dict[str, list[Room]] = {}
-    for room in rooms:
-        racks.setdefault(room.state.executor.rack, []).append(room)
+def group_by_rack(offers: list[Offer]) -> dict[str, list[Offer]]:
+    """Return the offers of each rack."""
+    racks: dict[str, list[Offer]] = {}
+    for offer in offers:
+        racks.setdefault(offer.state.executor.rack, []).append(offer)
     return racks
 
 
-def holds_when_empty(rooms: list[Room], spec: StepSpec, count: int) -> bool:
-    """Whether `count` tasks would fit if nothing else ran there."""
+def fits_when_empty(offers: list[Offer], spec: StepSpec, count: int) -> bool:
+    """Whether `count` tasks would fit if nothing else ran on the executors."""
     need = spec.need
     total = 0
-    for room in rooms:
-        total += count_fits(need, room.state.executor.capacity)
+    for offer in offers:
+        total += count_fits(need, offer.state.executor.capacity)
     return total >= count
 
 
-def count_fits(need: Resources, room: Resources) -> int:
-    """Return how many times `need` fits in `room`."""
-    counts = [have // want for want, have in zip(need, room, strict=True) if want > 0]
+def count_fits(need: Resources, available: Resources) -> int:
+    """Return how many times `need` fits in `available`."""
+    counts = [have // want for want, have in zip(need, available, strict=True) if want > 0]
     return min(counts, default=1_000_000)
 
 
-def count_members(scope: list[Room], need: Resources) -> int:
+def count_free_now(scope: list[Offer], need: Resources) -> int:
     """Return how many tasks fit now."""
-    return sum(max(0, count_fits(need, room.now)) for room in scope)
+    return sum(max(0, count_fits(need, offer.free)) for offer in scope)
