--- a/tests/plain_planner/victims.py
+++ b/tests/plain_planner/victims.py
@@ -1,4 +1,4 @@
-"""Choosing what is taken back for urgent work: whole gangs, and as little lost as possible."""
+"""Selection of attempts to stop for urgent work: whole gangs, with the least work lost."""
 
 from __future__ import annotations
 
@@ -8,18 +8,18 @@
 from heronthread_dispatch.model import URGENT, DesiredState, Resources
 from heronthread_dispatch.plan import Candidate
 from heronthread_dispatch.progress import Attempt, JobState, Phase
-from heronthread_dispatch.sharing import may_be_taken_away
+from heronthread_dispatch.sharing import is_within_disruption_budget
 
-from .room import Room, count_fits
+from .room import Offer, count_fits
 
-END_PATIENCE_S = 0.8
+END_WAIT_S = 0.8
 URGENT_LOSS_FACTOR = 6.0
-URGENT_LEAST_LOSS = 10.0
+URGENT_MIN_LOSS_CORE_S = 10.0
 
 
 @dataclass(frozen=True, slots=True)
 class _Loss:
-    """An attempt that may be stopped, and the work that is lost with its whole gang."""
+    """An attempt that may be stopped, and the work lost with its whole gang."""
 
     core_seconds: float
     attempt: Attempt
@@ -27,35 +27,35 @@
 
 @dataclass(frozen=True, slots=True)
 class _Option:
-    """What to stop at one executor so that one more task fits there."""
+    """The attempts to stop on one executor so that one more task fits."""
 
     cost: float
     victims: list[Attempt]
 
 
 @dataclass(slots=True)
-class _Clearing:
-    """One search for room: what is left at each executor, and what was chosen so far."""
+class _VictimSearch:
+    """A search with the options selected so far and what is left on each executor."""
 
     candidate: Candidate
-    soon: dict[str, Resources]
+    projected: dict[str, Resources]
     here: dict[str, int] = field(default_factory=dict)
     victims: list[Attempt] = field(default_factory=list)
-    doomed: set[int] = field(default_factory=set)
-    chosen: list[Room] = field(default_factory=list)
+    victim_ids: set[int] = field(default_factory=set)
+    chosen: list[Offer] = field(default_factory=list)
     cost: float = 0.0
-    has_doomed_lasting: bool = False
+    has_lasting_victims: bool = False
 
     @property
     def need(self) -> Resources:
-        """What one task asks for."""
+        """The resources one task needs."""
         return self.candidate.step.spec.need
 
 
-class Victims:
-    """Finds attempts to stop; `stops` are those that the plan stops already.
+class VictimSelector:
+    """Selects attempts to stop; `stops` holds those that the plan already stops.
 
-    A stop takes up to `stop_s`: what ends by itself within that time is waited for instead.
+    A stop takes up to `stop_s`; attempts that end by themselves within that time are waited for.
     """
 
     def __init__(
@@ -74,157 +74,167 @@
         self._stops = stops
         self._stop_s = stop_s
         self._known: dict[tuple[bool, str], list[_Loss]] = {}
-        self._ending: dict[str, list[Attempt]] = {}
+        self._ending_soon: dict[str, list[Attempt]] = {}
         self._stopped_ids: set[int] = set()
 
-    def clear(
-        self, candidate: Candidate, count: int, scope: list[Room]
-    ) -> tuple[float, list[Attempt], list[Room]] | None:
-        """Return the cheapest victims (cost, victims, rooms) that make room for `count`.
+    def find_victims(
+        self, candidate: Candidate, count: int, scope: list[Offer]
+    ) -> tuple[float, list[Attempt], list[Offer]] | None:
+        """Return the cheapest victims that make `count` tasks fit, as (cost, victims, offers).
 
-        Where the tasks are no gang, room for some of them is better than for none.
+        For tasks outside a gang, the result may cover fewer than `count`.
         """
-        clearing = _Clearing(candidate, {room.state.id: room.soon for room in scope})
-        if not self._may_suffice(clearing, count, scope):
+        search = _VictimSearch(candidate, {offer.state.id: offer.projected for offer in scope})
+        if not self._can_fit(search, count, scope):
             return None
-        options = {room.state.id: self._cheapest_here(clearing, room) for room in scope}
+        options = {offer.state.id: self._cheapest_here(search, offer) for offer in scope}
         for _ in range(count):
-            best = self._cheapest_room(clearing, scope, options)
-            if best is None and (candidate.step.spec.gang or not clearing.chosen):
+            best = self._cheapest_room(search, scope, options)
+            if best is None and (candidate.step.spec.gang or not search.chosen):
                 return None
             if best is None:
                 break
-            room, option = best
-            changed = self._apply(clearing, room, option)
+            offer, option = best
+            changed = self._apply(search, offer, option)
             for other in scope:
-                if other.state.id in changed or clearing.has_doomed_lasting:
-                    options[other.state.id] = self._cheapest_here(clearing, other)
-        return clearing.cost, clearing.victims, clearing.chosen
+                if other.state.id in changed or search.has_lasting_victims:
+                    options[other.state.id] = self._cheapest_here(search, other)
+        return search.cost, search.victims, search.chosen
 
-    def _may_suffice(self, clearing: _Clearing, count: int, scope: list[Room]) -> bool:
-        """Whether room for a gang could be made if everything that may be taken were."""
-        if not clearing.candidate.step.spec.gang:
+    def _can_fit(self, search: _VictimSearch, count: int, scope: list[Offer]) -> bool:
+        """Whether a gang would fit if everything that may be stopped were stopped."""
+        if not search.candidate.step.spec.gang:
             return True
-        need, found = clearing.need, 0
-        for room in scope:
-            most = clearing.soon[room.state.id]
-            ending = self._find_ending(clearing.candidate, room, clearing.doomed)
-            for loss in self._takeable(clearing.candidate, room):
+        need, found = search.need, 0
+        for offer in scope:
+            most = search.projected[offer.state.id]
+            ending = self._find_ending_soon(search.candidate, offer, search.victim_ids)
+            for loss in self._list_evictable(search.candidate, offer):
                 if id(loss.attempt) not in ending:
                     most = most.plus(loss.attempt.need)
-            if clearing.candidate.waited_s(self._now) < END_PATIENCE_S:
-                most = self._with_ending(room, most, clearing.doomed)
+            if search.candidate.waited_s(self._now) < END_WAIT_S:
+                most = self._add_ending_soon(offer, most, search.victim_ids)
             found += max(0, count_fits(need, most))
         return found >= count
 
     def _cheapest_room(
-        self, clearing: _Clearing, scope: list[Room], options: dict[str, _Option | None]
-    ) -> tuple[Room, _Option] | None:
-        limit = clearing.candidate.step.spec.spread_limit
-        best: tuple[Room, _Option] | None = None
-        for room in scope:
-            if limit and clearing.here.get(room.state.id, 0) >= limit:
+        self, search: _VictimSearch, scope: list[Offer], options: dict[str, _Option | None]
+    ) -> tuple[Offer, _Option] | None:
+        limit = search.candidate.step.spec.spread_limit
+        best: tuple[Offer, _Option] | None = None
+        for offer in scope:
+            if limit and search.here.get(offer.state.id, 0) >= limit:
                 continue
-            option = options[room.state.id]
+            option = options[offer.state.id]
             if option is None or (best is not None and option.cost >= best[1].cost):
                 continue
-            best = (room, option)
+            best = (offer, option)
             if option.cost == 0.0:
                 break
         return best
 
-    def _apply(self, clearing: _Clearing, room: Room, option: _Option) -> set[str]:
-        """Note a choice; return the executors where it changes what the next one costs."""
-        changed = {room.state.id}
-        clearing.cost += option.cost
+    def _apply(self, search: _VictimSearch, offer: Offer, option: _Option) -> set[str]:
+        """Record a selected option; return the executors whose next option it may change."""
+        changed = {offer.state.id}
+        search.cost += option.cost
         for attempt in option.victims:
-            clearing.victims.append(attempt)
-            clearing.has_doomed_lasting |= self._is_lasting(attempt)
+            search.victims.append(attempt)
+            search.has_lasting_victims |= self._is_lasting(attempt)
             for member in self.whole_gang(attempt):
-                clearing.doomed.add(id(member))
-                if member.executor in clearing.soon:
-                    clearing.soon[member.executor] = clearing.soon[member.executor].plus(
+                search.victim_ids.add(id(member))
+                if member.executor in search.projected:
+                    search.projected[member.executor] = search.projected[member.executor].plus(
                         member.need
                     )
                     changed.add(member.executor)
-        clearing.soon[room.state.id] = clearing.soon[room.state.id].minus(clearing.need)
-        clearing.here[room.state.id] = clearing.here.get(room.state.id, 0) + 1
-        clearing.chosen.append(room)
+        search.projected[offer.state.id] = search.projected[offer.state.id].minus(search.need)
+        search.here[offer.state.id] = search.here.get(offer.state.id, 0) + 1
+        search.chosen.append(offer)
         return changed
 
-    def _cheapest_here(self, clearing: _Clearing, room: Room) -> _Option | None:
-        """Return what to stop at one executor so that one more task fits; None if nothing does."""
-        need, soon, doomed = clearing.need, clearing.soon[room.state.id], clearing.doomed
-        ending = self._find_ending(clearing.candidate, room, doomed)
-        if clearing.candidate.waited_s(self._now) < END_PATIENCE_S:
-            soon = self._with_ending(room, soon, doomed)
-        if need.fits_in(soon):
+    def _cheapest_here(self, search: _VictimSearch, offer: Offer) -> _Option | None:
+        """Return what to stop on one executor so that one more task fits; None if it cannot fit."""
+        need, projected, victim_ids = (
+            search.need,
+            search.projected[offer.state.id],
+            search.victim_ids,
+        )
+        ending = self._find_ending_soon(search.candidate, offer, victim_ids)
+        if search.candidate.waited_s(self._now) < END_WAIT_S:
+            projected = self._add_ending_soon(offer, projected, victim_ids)
+        if need.fits_in(projected):
             return _Option(0.0, [])
         cost = 0.0
         victims: list[Attempt] = []
-        away = set(doomed)
-        for loss in self._takeable(clearing.candidate, room):
+        evicted = set(victim_ids)
+        for loss in self._list_evictable(search.candidate, offer):
             attempt = loss.attempt
-            if id(attempt) in away or id(attempt) in ending:
+            if id(attempt) in evicted or id(attempt) in ending:
                 continue
-            if not self.may_be_away(attempt, away):
+            if not self.may_disrupt(attempt, evicted):
                 continue
             victims.append(attempt)
             cost += loss.core_seconds
             for member in self.whole_gang(attempt):
-                away.add(id(member))
-                if member.executor == room.state.id and id(member) not in ending:
-                    soon = soon.plus(member.need)
-            if need.fits_in(soon):
+                evicted.add(id(member))
+                if member.executor == offer.state.id and id(member) not in ending:
+                    projected = projected.plus(member.need)
+            if need.fits_in(projected):
                 return _Option(cost, victims)
         return None
 
-    def _takeable(self, candidate: Candidate, room: Room) -> list[_Loss]:
-        """Return the attempts at an executor that may be taken for a candidate, cheapest first."""
-        key = (candidate.guaranteed, room.state.id)
+    def _list_evictable(self, candidate: Candidate, offer: Offer) -> list[_Loss]:
+        """Return the attempts on an executor that a candidate may stop, cheapest first."""
+        key = (candidate.guaranteed, offer.state.id)
         if key not in self._known:
             losses = [
                 _Loss(self._loss(attempt), attempt)
-                for attempt in room.state.attempts.values()
+                for attempt in offer.state.attempts.values()
                 if self._may_take(candidate, attempt)
             ]
             self._known[key] = sorted(losses, key=lambda loss: loss.core_seconds)
         stopped = self._stopped()
         return [loss for loss in self._known[key] if id(loss.attempt) not in stopped]
 
-    def _find_ending(self, candidate: Candidate, room: Room, doomed: set[int]) -> set[int]:
-        """Return the ids of what a candidate waits for instead of having it stopped."""
-        if candidate.waited_s(self._now) >= END_PATIENCE_S:
+    def _find_ending_soon(
+        self, candidate: Candidate, offer: Offer, victim_ids: set[int]
+    ) -> set[int]:
+        """Return the ids of attempts that a candidate waits for instead of stopping them."""
+        if candidate.waited_s(self._now) >= END_WAIT_S:
             return set()
-        return {id(attempt) for attempt in self._list_ending(room, doomed)}
-
-    def _with_ending(self, room: Room, soon: Resources, doomed: set[int]) -> Resources:
-        """Add what will have ended by itself before a stop would be over."""
-        for attempt in self._list_ending(room, doomed):
-            soon = soon.plus(attempt.need)
-        return soon
-
-    def _list_ending(self, room: Room, doomed: set[int]) -> list[Attempt]:
-        """Return what ends by itself before a stop would be over, and is not stopped."""
-        executor = room.state.id
-        if executor not in self._ending:
-            self._ending[executor] = [
+        return {id(attempt) for attempt in self._list_ending_soon(offer, victim_ids)}
+
+    def _add_ending_soon(
+        self, offer: Offer, projected: Resources, victim_ids: set[int]
+    ) -> Resources:
+        """Add the resources of attempts that end before a stop would complete."""
+        for attempt in self._list_ending_soon(offer, victim_ids):
+            projected = projected.plus(attempt.need)
+        return projected
+
+    def _list_ending_soon(self, offer: Offer, victim_ids: set[int]) -> list[Attempt]:
+        """Return the attempts that end before a stop would complete and are not stopped."""
+        executor = offer.state.id
+        if executor not in self._ending_soon:
+            self._ending_soon[executor] = [
                 attempt
-                for attempt in room.state.attempts.values()
+                for attempt in offer.state.attempts.values()
                 if attempt.phase is Phase.RUNNING
                 and expected_end_s(attempt, self._now) <= self._stop_s
             ]
-        gone = self._stopped().union(doomed)
-        return [attempt for attempt in self._ending[executor] if id(attempt) not in gone]
+        gone = self._stopped().union(victim_ids)
+        return [attempt for attempt in self._ending_soon[executor] if id(attempt) not in gone]
 
-    def may_be_away(self, attempt: Attempt, doomed: Iterable[int] = ()) -> bool:
-        """Whether a lasting task may be taken away beside `doomed` and what is stopped."""
+    def may_disrupt(self, attempt: Attempt, victim_ids: Iterable[int] = ()) -> bool:
+        """Whether a lasting task's disruption budget allows one more stop beside `victim_ids`."""
         job = self._job(attempt)
         if job is None:
             return False
         if not job.step_of(attempt.task).spec.lasting:
             return True
-        return may_be_taken_away(job.step_of(attempt.task), self._stopped().union(doomed))
+        return is_within_disruption_budget(
+            job.step_of(attempt.task), self._stopped().union(victim_ids)
+        )
 
     def _may_take(self, candidate: Candidate, attempt: Attempt) -> bool:
         if attempt.phase is Phase.STOPPING:
@@ -245,9 +255,9 @@
         return [t.attempt for t in tasks if t.attempt is not None]
 
     def _loss(self, attempt: Attempt) -> float:
-        """Return the core-seconds that are lost when an attempt is stopped now.
+        """Return the core-seconds lost when an attempt is stopped now.
 
-        Urgent work counts several times: it is late if it has to start anew.
+        Urgent work costs more, as it is likely to be late after a restart.
         """
         job = self._job(attempt)
         step = job.step_of(attempt.task).spec if job else None
@@ -258,7 +268,7 @@
                 elapsed = min(elapsed, 0.3)
             total += elapsed * member.need.cores
         if job is not None and self._desired.current_queue(job.spec).priority == URGENT:
-            total = (total + URGENT_LEAST_LOSS) * URGENT_LOSS_FACTOR
+            total = (total + URGENT_MIN_LOSS_CORE_S) * URGENT_LOSS_FACTOR
         return total
 
     def _is_lasting(self, attempt: Attempt) -> bool:
@@ -266,7 +276,7 @@
         return job is not None and job.step_of(attempt.task).spec.lasting
 
     def _stopped(self) -> set[int]:
-        """Return the ids of what the plan stops; the plan only ever adds to it."""
+        """Return the ids of the attempts that the plan stops; the plan only adds to them."""
         if len(self._stopped_ids) < len(self._stops):
             self._stopped_ids = {id(attempt) for attempt in self._stops}
         return self._stopped_ids
@@ -276,7 +286,7 @@
 
 
 def expected_end_s(attempt: Attempt, now: float) -> float:
-    """Return in how many seconds an attempt ends if it gets on as it did so far."""
+    """Return the time in seconds until an attempt ends at its average speed so far."""
     gained = attempt.percent - attempt.began_percent
     if gained <= 0 or attempt.began_at is None:
         return float("inf")
--- a/tests/test_planner_equivalence.py
+++ b/tests/test_planner_equivalence.py
@@ -1,4 +1,4 @@
-"""The indexed planner decides the same as the plain one, on generated and on recorded states."""
+"""Comparison of the planner's decisions with those of the reference planner."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
 
 
 class _Generator:
-    """Makes one state of a cell; the same seed makes the same state again."""
+    """Generates the state of a cell from a seed."""
 
     def __init__(self, seed: int) -> None:
         self.source = random.Random(seed)
@@ -112,13 +112,13 @@
         return job
 
     def run_some(self, job: JobState) -> None:
-        """Have the job's first step run where there is room."""
+        """Run the tasks of the job's first step on executors with enough free capacity."""
         step = job.steps[0]
         ends_soon = self._chance(0.2)
         for task in step.tasks:
-            rooms = [s for s in self.executors if step.spec.need.fits_in(s.free)]
-            if rooms and (step.spec.gang or self._chance(0.8)):
-                state = self.source.choice(rooms)
+            offers = [s for s in self.executors if step.spec.need.fits_in(s.free)]
+            if offers and (step.spec.gang or self._chance(0.8)):
+                state = self.source.choice(offers)
                 key = job.key_of(step, task)
                 self._place(step, key, state, 95.0 if ends_soon else self.source.uniform(1, 100))
                 task.attempt = state.attempts[key]
@@ -132,8 +132,8 @@
         attempt.percent = 100.0 if step.spec.lasting else percent
         state.occupy(attempt)
 
-    def leave_strays(self, source: random.Random) -> None:
-        """Have runs of some steps be where their tasks' own attempts are not."""
+    def add_stray_runs(self, source: random.Random) -> None:
+        """Add runs that are not their tasks' current attempts."""
         for job in self.jobs:
             for step in job.steps:
                 if not step.spec.spread_limit or source.random() < 0.5:
@@ -160,7 +160,7 @@
     generator.stop_some()
     for number in range(generator.source.randint(1, 25)):
         generator.make_job(f"w{number}")
-    generator.leave_strays(random.Random(seed))
+    generator.add_stray_runs(random.Random(seed))
     return generator.jobs, generator.executors
 
 
@@ -176,13 +176,13 @@
     }
 
 
-def _describe_marks(jobs: list[JobState]) -> list[tuple[float | None, str | None]]:
-    """Return what a plan leaves behind in the jobs."""
+def _describe_step_changes(jobs: list[JobState]) -> list[tuple[float | None, str | None]]:
+    """Return what a plan changes in the jobs."""
     return [(step.ready_at, step.chosen_rack) for job in jobs for step in job.steps]
 
 
 @pytest.mark.parametrize("part", range(8))
-def test_decisions_are_those_of_the_plain_planner(part: int) -> None:
+def test_decisions_equal_the_reference_planners(part: int) -> None:
     for seed in range(part * 150, part * 150 + 150):
         source = random.Random(seed)
         policy = Policy(headroom=source.random() < 0.8, reserve=source.random() < 0.8)
@@ -193,33 +193,33 @@
             jobs, executors = _make_state(seed)
             planner = make(jobs, executors, DESIRED, NOW, NOW, peaks, policy=policy, stop_s=stop_s)
             plan = planner.make()
-            found.append((_describe(plan), _describe_marks(jobs), planner.urgent_demand()))
+            found.append((_describe(plan), _describe_step_changes(jobs), planner.urgent_demand()))
         assert found[1] == found[0], f"seed {seed}"
 
 
 @pytest.mark.parametrize("make", [PlainPlanner, Planner])
-def test_no_more_room_is_promised_than_comes_free(make: type[Planner]) -> None:
-    """What ends by itself counts once, also where the plan stops it."""
+def test_promised_resources_never_exceed_those_freed(make: type[Planner]) -> None:
+    """Resources of attempts that end soon count once, also if the plan stops these attempts."""
     promised = 0
     for seed in range(400):
         jobs, executors = _make_state(seed)
         policy = Policy(headroom=seed % 2 == 0, reserve=False)
         planner = make(jobs, executors, DESIRED, NOW, NOW, policy=policy, stop_s=0.9)
         stopped = {id(attempt) for attempt in planner.make().stops}
-        for room in (room for rooms in planner.rooms.values() for room in rooms):
-            left = room.soon
-            for attempt in room.state.attempts.values():
+        for offer in (offer for offers in planner.offers.values() for offer in offers):
+            left = offer.projected
+            for attempt in offer.state.attempts.values():
                 ends = expected_end_s(attempt, NOW) <= 0.9 and id(attempt) not in stopped
                 if attempt.phase is Phase.RUNNING and ends:
                     left = left.plus(attempt.need)
-            assert NOTHING.fits_in(left), f"seed {seed}, {room.state.id}"
-            promised += not NOTHING.fits_in(room.soon)
-    assert promised >= 20, "rooms of which something that ends by itself is promised"
+            assert NOTHING.fits_in(left), f"seed {seed}, {offer.state.id}"
+            promised += not NOTHING.fits_in(offer.projected)
+    assert promised >= 20, "few offers promise resources of attempts that end soon"
 
 
 @pytest.mark.parametrize("make", [PlainPlanner, Planner])
-def test_no_start_goes_beyond_the_limit_for_one_executor(make: type[Planner]) -> None:
-    """Runs beside their tasks' own attempts are there until they are stopped."""
+def test_starts_obey_the_spread_limit(make: type[Planner]) -> None:
+    """Stray runs count against the spread limit until they are stopped."""
     limited = beside_strays = 0
     for seed in range(400):
         jobs, executors = _make_state(seed)
@@ -241,22 +241,22 @@
     assert beside_strays >= 20
 
 
-def test_generated_states_show_every_kind_of_decision() -> None:
-    """So that equal decisions say something: starts, stops, gangs, reservations, waits."""
-    starts = stops = gangs = marks = waits = 0
+def test_generated_states_cover_every_kind_of_decision() -> None:
+    """The generated states cover starts, stops, gangs, reservations and waits."""
+    starts = stops = gangs = reservations = waits = 0
     for seed in range(300):
         jobs, executors = _make_state(seed)
         plan = Planner(jobs, executors, DESIRED, NOW, NOW).make()
         starts += len(plan.groups)
         gangs += sum(1 for group in plan.groups if len(group) > 1 and group[0].step.spec.gang)
         stops += len(plan.stops)
-        marks += sum(step.chosen_rack is not None for job in jobs for step in job.steps)
+        reservations += sum(step.chosen_rack is not None for job in jobs for step in job.steps)
         waits += plan.recheck_in_s is not None
-    assert min(starts, stops, gangs, marks, waits) >= 50
+    assert min(starts, stops, gangs, reservations, waits) >= 50
 
 
 class _BothPlanners(Planner):
-    """Plans as the product does, and compares with the plain planner on the same state."""
+    """Compares each plan with the reference planner's plan for the same state."""
 
     compared = 0
 
@@ -274,7 +274,7 @@
         return plan
 
 
-async def test_decisions_of_a_recorded_run_are_those_of_the_plain_planner(
+async def test_decisions_of_a_recorded_run_equal_the_reference_planners(
     autojump_clock: trio.testing.MockClock, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(owner_module, "Planner", _BothPlanners)
