--- a/packages/heronthread-dispatch/src/heronthread_dispatch/speed.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/speed.py
@@ -1,9 +1,9 @@
-"""How fast runs get on, and which executors are slow for now.
+"""Measurement of run speeds, and detection of slow executors.
 
-A run that gets much slower than it was itself shows that its executor has become slow. A run
-that is slower than others of its step may just be longer: the callers' estimates may be far
-off, and the tasks of a step may differ. Such a run speaks against its executor only if no
-other run there does well, and its task is moved for it once.
+A run that becomes much slower than it was shows that its executor has become slow. A run slower
+than others of its step may just be longer, as estimates are unreliable and the tasks of a step may
+differ. It marks its executor as slow only if no other run there is doing well, and its task is
+moved for this reason only once.
 """
 
 from __future__ import annotations
@@ -14,17 +14,17 @@
 from .policy import DEFAULT_POLICY, Policy
 from .progress import Attempt, JobState, Phase, StepState, TaskState
 
-MEASURE_S = 0.6
-LONGEST_MEASURE_S = 3.0
-CLEAR_GAIN = 5.0
-CLEAR_LOSS = 10.0
+MIN_MEASURE_S = 0.6
+MAX_MEASURE_S = 3.0
+SIGNIFICANT_GAIN_PERCENT = 5.0
+SIGNIFICANT_SHORTFALL_PERCENT = 10.0
 SLOW_RATIO = 3.2
 SLOW_FOR_S = 6.0
-HEALTHY_S = 1.5
-LONGEST_RATIO = 50.0
-LEAST_ESTIMATE_S = 0.05
-LEAST_COMPARED = 3
-LEAST_MEMBERS = 2
+HEALTHY_FOR_S = 1.5
+MAX_RATIO = 50.0
+MIN_ESTIMATE_S = 0.05
+MIN_COMPARED_TASKS = 3
+MIN_COMPARED_MEMBERS = 2
 
 
 def measure_speed(
@@ -36,59 +36,59 @@
     far_factor: float,
     policy: Policy = DEFAULT_POLICY,
 ) -> None:
-    """Take in a reading of `percent` once it tells the speed since the last one."""
+    """Update an attempt's speed from `percent` once it differs enough from the last measurement."""
     if attempt.measured_at is None:
         attempt.measured_at, attempt.measured_percent = now, percent
         return
     elapsed = now - attempt.measured_at
-    if attempt.phase is not Phase.RUNNING or elapsed < MEASURE_S:
+    if attempt.phase is not Phase.RUNNING or elapsed < MIN_MEASURE_S:
         return
     step = job.step_of(attempt.task)
     gained = percent - attempt.measured_percent
-    expected_rate = max(attempt.best_rate, _usual_rate(step, policy) / far_factor)
-    if not _is_telling(elapsed, gained, expected_rate):
+    expected_rate = max(attempt.best_rate, _typical_rate(step, policy) / far_factor)
+    if not _is_significant(elapsed, gained, expected_rate):
         return
     attempt.measured_at, attempt.measured_percent = now, percent
     if step.spec.gang and not is_whole(step, attempt):
         return
     attempt.rate = gained / elapsed
     attempt.best_rate = max(attempt.best_rate, attempt.rate)
-    expected = elapsed / max(LEAST_ESTIMATE_S, step.spec.estimate_s) * 100 / far_factor
-    attempt.ratio = min(LONGEST_RATIO, expected / gained) if gained > 0 else LONGEST_RATIO
+    expected = elapsed / max(MIN_ESTIMATE_S, step.spec.estimate_s) * 100 / far_factor
+    attempt.ratio = min(MAX_RATIO, expected / gained) if gained > 0 else MAX_RATIO
     step.ratios[attempt.task.member] = attempt.ratio
-    _judge(step, state, attempt, usual_ratio(step, policy), now)
+    _update_executor_speed(step, state, attempt, usual_ratio(step, policy), now)
 
 
-def _is_spread(step: StepState) -> bool:
-    """Whether a step's attempts are at several executors, which can be told apart by them."""
+def _spans_executors(step: StepState) -> bool:
+    """Whether a step's attempts run on several executors, so that their speeds can be compared."""
     return len({attempt.executor for attempt in step.attempts()}) > 1
 
 
-def _usual_rate(step: StepState, policy: Policy) -> float:
-    """Return how fast the members of a gang get on (percent a second), 0 if not known."""
-    usual = usual_ratio(step, policy, least_members=1)
-    if usual is None or not (step.spec.gang and policy.compare_members):
+def _typical_rate(step: StepState, policy: Policy) -> float:
+    """Return the typical progress of a gang's members (percent per second), 0 if unknown."""
+    typical_ratio = usual_ratio(step, policy, min_members=1)
+    if typical_ratio is None or not (step.spec.gang and policy.compare_members):
         return 0.0
-    return 100 / (max(LEAST_ESTIMATE_S, step.spec.estimate_s) * usual)
+    return 100 / (max(MIN_ESTIMATE_S, step.spec.estimate_s) * typical_ratio)
 
 
-def _is_telling(elapsed: float, gained: float, expected_rate: float) -> bool:
-    """Whether a reading is far enough from the last one; `percent` may come in whole numbers."""
-    would_show = elapsed * expected_rate >= CLEAR_LOSS
-    return gained >= CLEAR_GAIN or would_show or elapsed >= LONGEST_MEASURE_S
+def _is_significant(elapsed: float, gained: float, expected_rate: float) -> bool:
+    """Whether enough progress or time has passed for a measurement; `percent` may be rounded."""
+    falls_short = elapsed * expected_rate >= SIGNIFICANT_SHORTFALL_PERCENT
+    return gained >= SIGNIFICANT_GAIN_PERCENT or falls_short or elapsed >= MAX_MEASURE_S
 
 
-def _judge(
-    step: StepState, state: ExecutorState, attempt: Attempt, usual: float | None, now: float
+def _update_executor_speed(
+    step: StepState, state: ExecutorState, attempt: Attempt, typical_ratio: float | None, now: float
 ) -> None:
     if has_slowed(attempt):
         state.slow_until = now + SLOW_FOR_S
-    elif usual is None and step.spec.gang:
+    elif typical_ratio is None and step.spec.gang:
         return
-    elif not _is_behind(attempt, usual):
+    elif not _is_behind(attempt, typical_ratio):
         state.healthy_at = now
         state.slow_until = 0.0
-    elif now - state.healthy_at <= HEALTHY_S:
+    elif now - state.healthy_at <= HEALTHY_FOR_S:
         attempt.is_long = True
     elif not attempt.is_long:
         state.slow_until = now + SLOW_FOR_S
@@ -100,29 +100,28 @@
 
 
 def usual_ratio(
-    step: StepState, policy: Policy = DEFAULT_POLICY, least_members: int = LEAST_MEMBERS
+    step: StepState, policy: Policy = DEFAULT_POLICY, min_members: int = MIN_COMPARED_MEMBERS
 ) -> float | None:
-    """Return what the tasks of a step take over their estimate; None if that isn't known.
+    """Return the typical duration of a step's tasks relative to the estimate; None if unknown.
 
-    The members of a gang take equally long, and each gets on by itself until the last one is
-    done, so the fastest tells what is usual, also where most of them share a slow executor.
-    The estimate doesn't, as it may be off tenfold; it is all there is where the whole gang is
-    at one executor.
+    The members of a gang take equally long and progress independently, so the fastest one is
+    typical even if most share a slow executor. The estimate, which may be off tenfold, is used
+    only if the whole gang is on one executor.
     """
-    if step.spec.gang and not (policy.compare_members and _is_spread(step)):
+    if step.spec.gang and not (policy.compare_members and _spans_executors(step)):
         return 1.0
     if step.spec.gang:
         ratios = [a.ratio for a in step.attempts() if a.ratio is not None]
-        return min(ratios) if len(ratios) >= least_members else None
-    if len(step.ratios) < LEAST_COMPARED:
+        return min(ratios) if len(ratios) >= min_members else None
+    if len(step.ratios) < MIN_COMPARED_TASKS:
         return None
     return median(step.ratios.values())
 
 
-def _is_behind(attempt: Attempt, usual: float | None) -> bool:
-    if usual is None or attempt.ratio is None:
+def _is_behind(attempt: Attempt, typical_ratio: float | None) -> bool:
+    if typical_ratio is None or attempt.ratio is None:
         return False
-    return attempt.ratio >= SLOW_RATIO * usual
+    return attempt.ratio >= SLOW_RATIO * typical_ratio
 
 
 def should_move(
@@ -130,30 +129,30 @@
     task: TaskState,
     attempt: Attempt,
     state: ExecutorState,
-    usual: float | None,
+    typical_ratio: float | None,
     now: float,
 ) -> bool:
-    """Whether an attempt is so slow, for its executor's sake, that it may do better elsewhere."""
+    """Whether an attempt is slow because of its executor and may be faster elsewhere."""
     if has_slowed(attempt):
         return True
     may_be_long = attempt.is_long or task.moves > 0
-    return not may_be_long and state.slow_until > now and _is_behind(attempt, usual)
+    return not may_be_long and state.slow_until > now and _is_behind(attempt, typical_ratio)
 
 
 def remaining_s(step: StepState, attempt: Attempt) -> float:
-    """Return the time that an attempt still takes at its present speed."""
+    """Return the remaining time of an attempt at its present speed."""
     if attempt.rate > 0:
         return (100 - attempt.percent) / attempt.rate
     ratio = attempt.ratio if attempt.ratio is not None else 1.0
     return step.spec.estimate_s * ratio * (1 - attempt.percent / 100)
 
 
-def restarted_s(step: StepState, attempt: Attempt, usual: float | None) -> float:
-    """Return the time that the rest would take on a sound executor."""
+def restarted_s(step: StepState, attempt: Attempt, typical_ratio: float | None) -> float:
+    """Return the time the remaining work would take after a restart on a healthy executor."""
     kept = attempt.percent / 100 if step.spec.checkpointing else 0.0
     if has_slowed(attempt):
         return 100 / attempt.best_rate * (1 - kept)
-    return step.spec.estimate_s * (1.0 if usual is None else usual) * (1 - kept)
+    return step.spec.estimate_s * (1.0 if typical_ratio is None else typical_ratio) * (1 - kept)
 
 
 def is_whole(step: StepState, attempt: Attempt) -> bool:
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/stands.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/stands.py
@@ -1,7 +1,7 @@
-"""What hosts know of jobs that stand: what an owner tells of one, and since when they know it.
+"""Stalled jobs as known by a host: the owner's reports, and for how long each job is stalled.
 
-An owner knows of a stand since its own beginning alone. A host that asked earlier owners, or was
-one of them, knows for how long a job has stood before.
+An owner only knows of stalls since its own term began. A host that queried earlier owners, or was
+one, also knows the time before.
 """
 
 from __future__ import annotations
@@ -14,20 +14,19 @@
 
 from .events import log_event
 
-TOLD_EVERY_S = 2.0
-MOST_TOLD = 16
-"""Jobs that a host tells of within `TOLD_EVERY_S`: callers may ask for hundreds, and lines are
-bounded."""
-SAME_STAND_S = 10.0
-"""A job of which nobody has told for so long stands anew: a takeover takes less, most times."""
-MOST_KNOWN = 512
-MOST_CHARS = 120
-MOST_COUNTED = 1e12
+REPORT_INTERVAL_S = 2.0
+MAX_REPORTED = 16
+"""Jobs that a host reports per `REPORT_INTERVAL_S`, as callers may query hundreds."""
+SAME_STALL_S = 10.0
+"""A job not reported for this long counts as newly stalled; most takeovers take less."""
+MAX_STALLS = 512
+MAX_CAUSE_CHARS = 120
+MAX_NUMBER = 1e12
 
 
 @dataclass(frozen=True, slots=True)
 class JobStand:
-    """A job that stands, as its owner tells: why, how long under it, and how old its term is."""
+    """A stalled job as reported by its owner: the cause, its duration, and the owner's term."""
 
     cause: str
     for_s: float
@@ -35,63 +34,63 @@
     term_age_s: float
 
     def encode(self) -> dict[str, Any]:
-        """Return the form that a reply carries."""
+        """Return the form sent in a reply."""
         return asdict(self)
 
     @classmethod
     def decode(cls, value: Any) -> JobStand:
-        """Read the form that a reply carries; raises one of `MALFORMED` if it is none."""
+        """Decode the form sent in a reply; raises one of `MALFORMED` if it is invalid."""
         cause, for_s, term, term_age_s = (value[name] for name in cls.__slots__)
         if not isinstance(cause, str):
-            raise TypeError("a cause is a text")
-        if not all(0 <= number < MOST_COUNTED for number in (for_s, term, term_age_s)):
-            raise ValueError("a number that no owner counts up to")
-        return cls(cause[:MOST_CHARS], float(for_s), int(term), float(term_age_s))
+            raise TypeError("the cause must be a string")
+        if not all(0 <= number < MAX_NUMBER for number in (for_s, term, term_age_s)):
+            raise ValueError("a duration or term is out of range")
+        return cls(cause[:MAX_CAUSE_CHARS], float(for_s), int(term), float(term_age_s))
 
 
 @dataclass(frozen=True, slots=True)
 class Unowned:
-    """No owner has told of a job: the host that owns the cell, "" if none is known, and why."""
+    """A job that no owner reported on: the cell's owner, "" if unknown, and the reason."""
 
     owner: str
     reason: str
 
 
 @dataclass(frozen=True, slots=True)
-class _Known:
+class _Stall:
     since: float
-    told_at: float
+    reported_at: float
 
 
 @dataclass(slots=True)
 class KnownStands:
-    """Since when a host knows that jobs stand (trio's clock), whichever owners told it.
+    """The start times of stalls (trio's clock), across owners.
 
-    Of at most `MOST_KNOWN` jobs: those that were told of least lately are forgotten first.
+    Holds at most `MAX_STALLS` jobs, dropping those reported least recently.
     """
 
-    _known: dict[str, _Known] = field(default_factory=dict)
-    _told_at: dict[str, float] = field(default_factory=dict)
+    _known: dict[str, _Stall] = field(default_factory=dict)
+    _reported_at: dict[str, float] = field(default_factory=dict)
 
     def note(self, job: str, for_s: float) -> float:
-        """Take in for how long (s) a job has stood under its owner; return for how long at all."""
+        """Record a job's stall duration (s) under its owner; return that across owners (s)."""
         now = trio.current_time()
         since, known = now - for_s, self._known.pop(job, None)
-        if known is not None and now - known.told_at < SAME_STAND_S:
+        if known is not None and now - known.reported_at < SAME_STALL_S:
             since = min(since, known.since)
-        self._known[job] = _Known(since, now)
-        if len(self._known) > MOST_KNOWN:
+        self._known[job] = _Stall(since, now)
+        if len(self._known) > MAX_STALLS:
             del self._known[next(iter(self._known))]
         return now - since
 
     def keep(self, waiting: Collection[str]) -> None:
-        """Take in which jobs wait, by one who knows it of all of them: no other one stands."""
+        """Drop all jobs but the waiting ones; to be called with all jobs that wait."""
         self._known = {job: known for job, known in self._known.items() if job in waiting}
 
     def tell(self, job: str, stand: JobStand, owner: str) -> None:
-        """Log what the owner, another host, has told of a job, if that is due."""
+        """Log what the owner, another host, reports of a job, unless logged recently."""
         known_for_s = self.note(job, stand.for_s)
-        if self._take_turn(job):
+        if self._may_report(job):
             log_event(
                 "job.stands",
                 job=job,
@@ -104,19 +103,21 @@
             )
 
     def tell_unowned(self, job: str, unowned: Unowned, stored: str) -> None:
-        """Log that no owner could tell of a job that a caller asked for, if that is due.
+        """Log that no owner could report on a job that a caller queried, unless logged recently.
 
-        `stored` is its status in the store, or why that can't be told either.
+        `stored` is its status in the store, or why that is unknown too.
         """
-        if self._take_turn(job):
+        if self._may_report(job):
             owner, reason = unowned.owner, unowned.reason
             log_event("job.unowned", job=job, owner=owner, reason=reason, stored=stored)
 
-    def _take_turn(self, job: str) -> bool:
-        """Whether a line about a job may be written now."""
+    def _may_report(self, job: str) -> bool:
+        """Whether a line about a job may be logged now; if so, records that it is."""
         now = trio.current_time()
-        self._told_at = {j: at for j, at in self._told_at.items() if now - at < TOLD_EVERY_S}
-        if job in self._told_at or len(self._told_at) >= MOST_TOLD:
+        self._reported_at = {
+            name: at for name, at in self._reported_at.items() if now - at < REPORT_INTERVAL_S
+        }
+        if job in self._reported_at or len(self._reported_at) >= MAX_REPORTED:
             return False
-        self._told_at[job] = now
+        self._reported_at[job] = now
         return True
--- a/packages/heronthread-dispatch/tests/test_approval.py
+++ b/packages/heronthread-dispatch/tests/test_approval.py
@@ -1,4 +1,4 @@
-"""Queues whose policy leaves the choice of executors to a service."""
+"""Queues whose executors must be approved by an external service."""
 
 import trio
 from heronthread_dispatch.model import ApprovalTerms, Queue
@@ -8,7 +8,7 @@
 Clock = trio.testing.MockClock
 
 
-async def _open_approved(site: EmulatedSite, healthy: set[str]) -> None:
+async def _set_approved_executors(site: EmulatedSite, healthy: set[str]) -> None:
     await site.wait_for_owner()
     site.approver.healthy = healthy
     site.executors.approver = site.approver
@@ -21,7 +21,7 @@
 
 async def test_step_runs_only_where_it_is_approved(autojump_clock: Clock) -> None:
     async with EmulatedSite.open(executors=6) as site:
-        await _open_approved(site, {"e1", "e4"})
+        await _set_approved_executors(site, {"e1", "e4"})
         record = site.make_job("a", queue="approved", count=10, work_s=1.0)
         await site.hosts["h0"].requests.accept(record, 2.0)
         await trio.sleep(3.0)
@@ -29,9 +29,9 @@
         assert {start.executor for start in site.executors.starts()} == {"e1", "e4"}
 
 
-async def test_one_question_serves_all_tasks_of_a_step(autojump_clock: Clock) -> None:
+async def test_one_request_covers_all_tasks_of_a_step(autojump_clock: Clock) -> None:
     async with EmulatedSite.open(executors=6) as site:
-        await _open_approved(site, {f"e{n}" for n in range(6)})
+        await _set_approved_executors(site, {f"e{n}" for n in range(6)})
         record = site.make_job("a", queue="approved", count=40, work_s=1.0)
         await site.hosts["h0"].requests.accept(record, 2.0)
         await trio.sleep(3.0)
@@ -39,10 +39,10 @@
         assert len(site.approver.questions) == 1
 
 
-async def test_ticket_that_has_run_out_is_asked_for_again(autojump_clock: Clock) -> None:
-    """The second half of the tasks starts after the first tickets have run out."""
+async def test_expired_ticket_is_requested_again(autojump_clock: Clock) -> None:
+    """The second half of the tasks starts after the first tickets have expired."""
     async with EmulatedSite.open(executors=1) as site:
-        await _open_approved(site, {"e0"})
+        await _set_approved_executors(site, {"e0"})
         record = site.make_job("a", queue="approved", count=12, work_s=6.0)
         await site.hosts["h0"].requests.accept(record, 2.0)
         await trio.sleep(15.0)
@@ -53,7 +53,7 @@
 
 async def test_gang_starts_whole_on_approved_executors(autojump_clock: Clock) -> None:
     async with EmulatedSite.open(executors=6) as site:
-        await _open_approved(site, {"e0", "e2", "e4"})
+        await _set_approved_executors(site, {"e0", "e2", "e4"})
         record = site.make_job(
             "a", queue="approved", count=3, accelerators=8, work_s=1.0, gang=True, same_rack=True
         )
@@ -63,9 +63,9 @@
         assert {start.executor for start in site.executors.starts()} == {"e0", "e2", "e4"}
 
 
-async def test_lost_answer_is_asked_for_again(autojump_clock: Clock) -> None:
+async def test_lost_answer_is_requested_again(autojump_clock: Clock) -> None:
     async with EmulatedSite.open() as site:
-        await _open_approved(site, {"e0"})
+        await _set_approved_executors(site, {"e0"})
         site.approver.fail_next = 2
         await site.hosts["h0"].requests.accept(
             site.make_job("a", queue="approved", work_s=1.0), 2.0
@@ -75,9 +75,9 @@
         assert len(site.approver.questions) == 3
 
 
-async def test_denied_step_does_not_hold_up_others(autojump_clock: Clock) -> None:
+async def test_denied_step_does_not_block_others(autojump_clock: Clock) -> None:
     async with EmulatedSite.open() as site:
-        await _open_approved(site, set())
+        await _set_approved_executors(site, set())
         requests = site.hosts["h0"].requests
         await requests.accept(site.make_job("denied", queue="approved", work_s=1.0), 2.0)
         await trio.sleep(1.0)
--- a/packages/heronthread-dispatch/tests/test_speed.py
+++ b/packages/heronthread-dispatch/tests/test_speed.py
@@ -4,7 +4,7 @@
 from heronthread_emulator import EmulatedSite
 
 
-async def test_slow_executor_loses_its_work_to_sound_ones(
+async def test_work_moves_from_slow_to_healthy_executors(
     autojump_clock: trio.testing.MockClock,
 ) -> None:
     async with EmulatedSite.open(executors=3) as site:
@@ -16,7 +16,7 @@
         assert view.status is JobStatus.SUCCEEDED
 
 
-async def test_gang_with_a_slow_member_is_started_anew(
+async def test_gang_with_a_slow_member_is_restarted(
     autojump_clock: trio.testing.MockClock,
 ) -> None:
     async with EmulatedSite.open(executors=4, racks=1) as site:
@@ -31,10 +31,10 @@
         assert len(runs) == 2
 
 
-async def test_tasks_that_are_just_longer_are_left_alone(
+async def test_longer_tasks_are_not_moved(
     autojump_clock: trio.testing.MockClock,
 ) -> None:
-    """Two of six tasks take five times as long, on executors that are sound."""
+    """Two of six tasks take five times as long on healthy executors."""
     async with EmulatedSite.open(executors=3) as site:
         await site.wait_for_owner()
         record = site.make_job("a", count=6, work_s=3.0)
@@ -47,7 +47,7 @@
         assert len(site.executors.starts()) == 6
 
 
-async def test_executor_that_becomes_slow_loses_even_a_lone_run(
+async def test_single_run_moves_from_an_executor_that_becomes_slow(
     autojump_clock: trio.testing.MockClock,
 ) -> None:
     async with EmulatedSite.open(executors=2) as site:
@@ -63,10 +63,10 @@
         assert len(site.executors.starts()) == 2
 
 
-async def test_gang_with_a_low_estimate_is_left_alone(
+async def test_gang_with_a_low_estimate_is_not_moved(
     autojump_clock: trio.testing.MockClock,
 ) -> None:
-    """Its members take five times what their caller guessed, all alike: nobody is slow."""
+    """All members take five times the estimate."""
     async with EmulatedSite.open(executors=4, racks=1) as site:
         await site.wait_for_owner()
         record = site.make_job("a", count=2, accelerators=8, work_s=1.0, gang=True)
@@ -79,7 +79,7 @@
         assert len(site.executors.starts()) == 2
 
 
-async def test_gang_member_that_stands_still_is_found_before_its_peers_are_done(
+async def test_stuck_gang_member_is_detected_before_its_peers_end(
     autojump_clock: trio.testing.MockClock,
 ) -> None:
     async with EmulatedSite.open(executors=4, racks=1) as site:
@@ -92,7 +92,7 @@
         assert len(runs) == 2
 
 
-async def test_blame_for_a_gang_that_stands_still_falls_on_its_last_member(
+async def test_stuck_gang_marks_the_executor_of_its_slowest_member(
     autojump_clock: trio.testing.MockClock,
 ) -> None:
     async with EmulatedSite.open(executors=2, racks=1) as site:
@@ -106,7 +106,7 @@
         assert states["e0"].slow_until == 0
 
 
-async def test_gang_of_which_most_shares_a_slow_executor_is_started_anew(
+async def test_gang_with_most_members_on_a_slow_executor_is_restarted(
     autojump_clock: trio.testing.MockClock,
 ) -> None:
     """Two of three members run eight times slower than the third."""
@@ -122,7 +122,7 @@
         assert view.status is JobStatus.SUCCEEDED
 
 
-async def test_gang_of_one_on_a_slow_executor_is_started_anew(
+async def test_gang_of_one_on_a_slow_executor_is_restarted(
     autojump_clock: trio.testing.MockClock,
 ) -> None:
     async with EmulatedSite.open(executors=2, racks=1) as site:
@@ -135,7 +135,7 @@
         assert places == ["e0", "e1"]
 
 
-async def test_gang_that_is_whole_on_one_slow_executor_is_started_anew(
+async def test_gang_entirely_on_a_slow_executor_is_restarted(
     autojump_clock: trio.testing.MockClock,
 ) -> None:
     async with EmulatedSite.open(executors=2, racks=1) as site:
--- a/packages/heronthread-dispatch/tests/test_standing.py
+++ b/packages/heronthread-dispatch/tests/test_standing.py
@@ -1,10 +1,6 @@
-"""Jobs with nothing running beside free room, after the cell has changed hands.
+"""Ready jobs must not stay idle beside free capacity after a takeover.
 
-A new owner did not know what the one before had left at an executor that answers nobody, so it
-started no task of any older job until that executor's holding time was over. With 176 executors one
-of them is silent at most takeovers. At that size, on one day with three crashed executors, the term
-was taken at 27.62 s and `owner.ready` came with `barrier_s` 6.228: 24 jobs that were not begun, or
-whose runs were over, were started in the same hundredth of a second, `waited_s` 6.187 each.
+Guards against a new owner that withholds all jobs while any executor is silent.
 """
 
 import pytest
@@ -13,46 +9,46 @@
 from heronthread_emulator import EmulatedSite, check_promises, run_soak
 
 Clock = trio.testing.MockClock
-STANDS_S = 3.0
-"""What callers bear of a job whose turn has come, with room for it twice over."""
-WAIT_S = 7.5
-"""How long a new owner waits at most for an executor that answers nobody: 1.2 s for late orders of
-the owner before, and a holding time of 6 s on a clock that may be slow."""
-NOTED_EACH_S = 1.0
-"""How old what an owner has left in the store of such a wait may be."""
+MAX_STALL_S = 3.0
+"""The longest time that a ready job may wait beside twice the capacity it needs."""
+MAX_TAKEOVER_WAIT_S = 7.5
+"""A new owner's longest wait for a silent executor: 1.2 s for late orders of the previous owner,
+and a holding time of 6 s on a clock that may be slow."""
+RECORD_INTERVAL_S = 1.0
+"""The interval at which an owner records the progress of such a wait in the store."""
 
 
-async def _lose_owner(site: EmulatedSite) -> str:
-    """Kill the owner and return a host that is left."""
+async def _kill_owner(site: EmulatedSite) -> str:
+    """Kill the owner and return a remaining host."""
     owner = site.owner_name()
     assert owner is not None
     site.kill_host(owner)
     return next(iter(site.hosts))
 
 
-async def test_jobs_that_never_began_do_not_wait_for_silent_executors(
+async def test_unstarted_jobs_do_not_wait_for_silent_executors(
     autojump_clock: Clock,
 ) -> None:
-    """Twelve are taken in while nobody owns the cell; an executor without any run is silent."""
+    """Twelve jobs are accepted while the cell has no owner and an idle executor is silent."""
     async with EmulatedSite.open(hosts=3, executors=6) as site:
         await site.wait_for_owner()
         await trio.sleep(1.0)
         site.executors.by_id["e5"].is_cut = True
-        other = site.hosts[await _lose_owner(site)]
+        other = site.hosts[await _kill_owner(site)]
         await trio.sleep(0.3)
         for number in range(12):
             is_gang = number % 3 == 0
             job = site.make_job(f"j{number}", count=3 if is_gang else 1, work_s=1.0, gang=is_gang)
             await other.requests.accept(job, 2.0)
         await site.wait_for_owner()
-        await trio.sleep(STANDS_S)
+        await trio.sleep(MAX_STALL_S)
         started = {start.task.job for start in site.executors.starts()}
         assert started == {f"j{number}" for number in range(12)}
         assert check_promises(site.executors, {}) == []
 
 
-async def test_a_second_takeover_does_not_begin_the_wait_again(autojump_clock: Clock) -> None:
-    """A run was given up with its silent executor; the next ends with one that starts again."""
+async def test_second_takeover_does_not_restart_the_wait(autojump_clock: Clock) -> None:
+    """A run is given up with its silent executor; the next run ends as its executor restarts."""
     async with EmulatedSite.open(hosts=3, executors=6) as site:
         owner = await site.wait_for_owner()
         host = next(name for name in site.hosts if name != owner)
@@ -60,31 +56,24 @@
         await trio.sleep(1.0)
         task = TaskKey("a", 0, 0)
         site.executors.by_id[site.executors.starts(task)[0].executor].is_cut = True
-        await _lose_owner(site)
+        await _kill_owner(site)
         await site.wait_for_owner()
         await trio.sleep(8.5)
         assert len(site.executors.starts(task)) == 2
-        await _lose_owner(site)
+        await _kill_owner(site)
         site.restart_executor(site.executors.starts(task)[1].executor, 0.5)
         await site.wait_for_owner()
-        await trio.sleep(STANDS_S)
+        await trio.sleep(MAX_STALL_S)
         assert len(site.executors.starts(task)) == 3
         assert check_promises(site.executors, {}) == []
 
 
-async def test_an_owner_waits_only_for_what_is_left_of_a_holding_time(
+async def test_owner_waits_only_for_the_rest_of_a_holding_time(
     autojump_clock: Clock,
 ) -> None:
-    """Each owner counted a silent executor's holding time from its own beginning.
+    """Guards against owners that count a silent executor's holding time from their own start.
 
-    The job's run was at an executor that answers nobody any more. Its next owner withheld the job
-    for 7.5 s, but was gone after 5 s; the one after that began the same wait again. Where owners
-    last for less than 7.5 s, the job stands for ever.
-
-    What settled it: in one play `owner.taken` came at 6.06, 10.86, 19.96 and 25.96, each followed
-    by `executor.silent` "refused" for the executors that had crashed under the first owner, and one
-    job's `job.stands` had the same cause in terms 3, 4 and 5, its `for_s` beginning at 1.0 each
-    time. What an owner knew of a silent executor went with it; only the name was handed on.
+    With owners that last for less than the holding time, the job would never start again.
     """
     async with EmulatedSite.open(hosts=3, executors=6) as site:
         owner = await site.wait_for_owner()
@@ -93,23 +82,24 @@
         await trio.sleep(1.0)
         task = TaskKey("a", 0, 0)
         site.executors.by_id[site.executors.starts(task)[0].executor].is_cut = True
-        await _lose_owner(site)
+        await _kill_owner(site)
         await site.wait_for_owner()
         await trio.sleep(5.0)
-        await _lose_owner(site)
+        await _kill_owner(site)
         await site.wait_for_owner()
-        await trio.sleep(WAIT_S - 5.0 + NOTED_EACH_S)
+        await trio.sleep(MAX_TAKEOVER_WAIT_S - 5.0 + RECORD_INTERVAL_S)
         assert len(site.executors.starts(task)) == 2
         assert check_promises(site.executors, {}) == []
 
 
-async def test_a_gang_whose_wait_ends_while_the_store_is_away_is_started(
+async def test_gang_whose_wait_ends_during_a_store_outage_starts(
     autojump_clock: Clock,
 ) -> None:
-    """Its executor is silent after a takeover, and the store goes before it may be started anew.
+    """A gang's executor is silent after a takeover, and the store fails before the gang may
+    restart.
 
-    Nothing was named in advance for it: a rack is more than a twelfth of this pool. So it stood on
-    for as long as the store was away, in a pool with 23 empty executors.
+    No executors are recorded in advance for the gang, as a rack is more than a twelfth of this
+    pool.
     """
     async with EmulatedSite.open(hosts=3, executors=24, racks=3) as site:
         owner = await site.wait_for_owner()
@@ -119,18 +109,18 @@
         await trio.sleep(1.0)
         task = TaskKey("a", 0, 0)
         site.executors.by_id[site.executors.starts(task)[0].executor].is_cut = True
-        await _lose_owner(site)
+        await _kill_owner(site)
         await site.wait_for_owner()
-        await trio.sleep(WAIT_S - 2.5)
+        await trio.sleep(MAX_TAKEOVER_WAIT_S - 2.5)
         site.store.is_down = True
-        await trio.sleep(2.5 + STANDS_S)
+        await trio.sleep(2.5 + MAX_STALL_S)
         assert len(site.executors.starts(task)) == 2
 
 
-async def _run_spread(site: EmulatedSite, count: int, *, gang: bool = False) -> set[int]:
-    """Run a job of tasks of half an executor each, cut one executor off and restart the others.
+async def _run_across_executors(site: EmulatedSite, count: int, *, gang: bool = False) -> set[int]:
+    """Run tasks of half an executor each, partition one executor and restart the others.
 
-    Return the tasks at the one that is cut off, which run on there for as long as they are held.
+    Return the tasks on the partitioned one, which keep running there until their holding time ends.
     """
     owner = await site.wait_for_owner()
     host = next(name for name in site.hosts if name != owner)
@@ -151,64 +141,63 @@
     return sorted(start.task.member for start in starts)
 
 
-async def test_tasks_that_can_be_nowhere_do_not_wait_for_doubtful_ones(
+async def test_tasks_that_cannot_be_running_start_at_once(
     autojump_clock: Clock,
 ) -> None:
-    """Two of a batch of twelve tasks run at an executor that is cut off as the owner goes.
+    """Two of twelve tasks run on an executor that is partitioned as the owner is killed.
 
-    The executors of the ten others have started again, so these tasks are at no executor. The next
-    owner knew only that the job might be at the silent one, and withheld all twelve for 7.5 s.
+    The executors of the other ten have restarted, so the next owner must not withhold these.
     """
     async with EmulatedSite.open(hosts=3, executors=24) as site:
-        doubtful = await _run_spread(site, 12)
-        assert 0 < len(doubtful) < 12
+        possibly_running = await _run_across_executors(site, 12)
+        assert 0 < len(possibly_running) < 12
         killed_at = trio.current_time()
-        await _lose_owner(site)
+        await _kill_owner(site)
         await site.wait_for_owner()
-        await trio.sleep(STANDS_S)
-        assert _list_started(site, killed_at) == sorted(set(range(12)) - doubtful)
-        await trio.sleep(WAIT_S)
+        await trio.sleep(MAX_STALL_S)
+        assert _list_started(site, killed_at) == sorted(set(range(12)) - possibly_running)
+        await trio.sleep(MAX_TAKEOVER_WAIT_S)
         assert _list_started(site, killed_at)[:12] == list(range(12))
         assert check_promises(site.executors, {}) == []
 
 
-async def test_a_third_owner_knows_too_which_tasks_are_doubtful(autojump_clock: Clock) -> None:
-    """The second owner starts ten of twelve tasks, is killed too, and their executors restart.
+async def test_third_owner_knows_which_tasks_may_be_running(autojump_clock: Clock) -> None:
+    """The second owner starts ten of twelve tasks and is killed as their executors restart.
 
-    The third one has it from the store alone that the two others may be at the silent executor.
+    The third one knows only from the store that the other two may run on the silent executor.
     """
     async with EmulatedSite.open(hosts=3, executors=24) as site:
-        doubtful = await _run_spread(site, 12)
-        await _lose_owner(site)
+        possibly_running = await _run_across_executors(site, 12)
+        await _kill_owner(site)
         await site.wait_for_owner()
         await trio.sleep(1.0)
         killed_at = trio.current_time()
         for name, place in list(site.executors.by_id.items()):
             if place.running and not place.is_cut:
                 site.restart_executor(name, 0.2)
-        await _lose_owner(site)
+        await _kill_owner(site)
         await site.wait_for_owner()
-        await trio.sleep(STANDS_S)
-        assert _list_started(site, killed_at) == sorted(set(range(12)) - doubtful)
+        await trio.sleep(MAX_STALL_S)
+        assert _list_started(site, killed_at) == sorted(set(range(12)) - possibly_running)
         assert check_promises(site.executors, {}) == []
 
 
-async def test_a_gang_with_a_doubtful_member_waits_whole(autojump_clock: Clock) -> None:
+async def test_gang_with_a_possibly_running_member_waits(autojump_clock: Clock) -> None:
     async with EmulatedSite.open(hosts=3, executors=24) as site:
-        doubtful = await _run_spread(site, 8, gang=True)
-        assert 0 < len(doubtful) < 8
+        possibly_running = await _run_across_executors(site, 8, gang=True)
+        assert 0 < len(possibly_running) < 8
         killed_at = trio.current_time()
-        await _lose_owner(site)
+        await _kill_owner(site)
         await site.wait_for_owner()
-        await trio.sleep(STANDS_S)
+        await trio.sleep(MAX_STALL_S)
         assert _list_started(site, killed_at) == []
-        await trio.sleep(WAIT_S)
+        await trio.sleep(MAX_TAKEOVER_WAIT_S)
         assert _list_started(site, killed_at) == list(range(8))
         assert check_promises(site.executors, {}) == []
 
 
-async def test_room_kept_for_gangs_leaves_no_small_job_standing(autojump_clock: Clock) -> None:
-    """Two gangs that fit no rack now keep what is free in both, where under half is in use."""
+async def test_reservations_for_gangs_do_not_stall_small_jobs(autojump_clock: Clock) -> None:
+    """Two gangs that fit no rack reserve free capacity in both, with less than half in use."""
     async with EmulatedSite.open(hosts=1, executors=8, racks=2) as site:
         await site.wait_for_owner()
         accept = site.hosts["h0"].requests.accept
@@ -222,7 +211,7 @@
             await accept(gang, 2.0)
         await trio.sleep(1.0)
         await accept(site.make_job("small", queue="batch", work_s=1.0), 2.0)
-        await trio.sleep(STANDS_S)
+        await trio.sleep(MAX_STALL_S)
         assert len(site.executors.starts(TaskKey("small", 0, 0))) == 1
         await trio.sleep(60.0)
         started = {start.task.job for start in site.executors.starts()}
@@ -230,43 +219,34 @@
         assert check_promises(site.executors, {}) == []
 
 
-LATE = ("executors_restart", "late_orders", "late_starts_beside_refusals")
-CRASHING = ("executors_restart", "task_crashes_executors", "store_down", "store_lapses")
-DAYS = (
+LATE_FAULTS = ("executors_restart", "late_orders", "late_starts_beside_refusals")
+CRASH_FAULTS = ("executors_restart", "task_crashes_executors", "store_down", "store_lapses")
+FAILING_SEEDS = (
     *((seed, ()) for seed in (4, 23, 45, 67, 71, 77, 78, 95)),
-    (0, (*LATE, "kill_owner", "orders_late_over_takeover")),
-    (30, (*LATE, "kill_owner", "orders_late_over_takeover")),
-    (1, (*CRASHING, "kill_owner", "executor_silent")),
+    (0, (*LATE_FAULTS, "kill_owner", "orders_late_over_takeover")),
+    (30, (*LATE_FAULTS, "kill_owner", "orders_late_over_takeover")),
+    (1, (*CRASH_FAULTS, "kill_owner", "executor_silent")),
     (0, ("power_lost",)),
     (5, ("executor_cut_over_takeover", "executor_silent", "power_lost")),
 )
-"""Seeds, of 0 to 99 of the mix and of other tests, that broke the promise when it was first
-checked; without names all faults are played."""
+"""Seeds of various tests that once violated the promise; without names all faults are played."""
 
 
-@pytest.mark.parametrize("day", DAYS, ids=lambda day: "-".join([str(day[0]), *day[1]]))
-def test_no_job_stands_on_days_on_which_some_did(day: tuple[int, tuple[str, ...]]) -> None:
-    assert run_soak(*day).violations == []
+@pytest.mark.parametrize("play", FAILING_SEEDS, ids=lambda play: "-".join([str(play[0]), *play[1]]))
+def test_no_job_stalls_with_formerly_failing_seeds(play: tuple[int, tuple[str, ...]]) -> None:
+    assert run_soak(*play).violations == []
 
 
-def test_no_job_stands_where_holds_of_a_new_owner_are_left_unanswered() -> None:
-    """Seed 24 of the same mix: two failure domains are evacuated meanwhile."""
+def test_no_job_stalls_while_a_new_owners_holds_are_unanswered() -> None:
+    """Two failure domains are evacuated meanwhile."""
     assert run_soak(24).violations == []
 
 
-def test_no_job_stands_on_a_day_of_late_orders_over_owners() -> None:
-    """A task is kept back for an earlier owner's start that had no answer.
-
-    `job.stands` says "a start of it without an answer may yet be carried out" for 3.0 s in the
-    third term and in the fourth, as executors start again under their ids and orders are late.
-    """
-    assert run_soak(11, (*LATE, "kill_owner", "orders_late_over_takeover")).violations == []
+def test_no_job_stalls_with_late_orders_across_owners() -> None:
+    """Guards against tasks withheld across terms for an earlier owner's unanswered start."""
+    assert run_soak(11, (*LATE_FAULTS, "kill_owner", "orders_late_over_takeover")).violations == []
 
 
-def test_no_job_stands_on_a_day_on_which_starts_are_turned_away() -> None:
-    """Room is kept for a gang that waits, then three executors turn a small gang's starts away.
-
-    `job.stands` says "room is kept for a gang that waits" 1.0 s into it; the starts at 15.96 and
-    15.98 are refused, and that at 17.33 has no answer.
-    """
+def test_no_job_stalls_while_starts_are_refused() -> None:
+    """Capacity is reserved for a waiting gang, then executors refuse the starts of a small gang."""
     assert run_soak(97).violations == []
--- a/packages/heronthread-dispatch/tests/test_waiting.py
+++ b/packages/heronthread-dispatch/tests/test_waiting.py
@@ -26,8 +26,8 @@
 URGENT_QUEUE, GANGS_QUEUE, BATCH_QUEUE = QUEUES
 
 
-async def test_job_with_room_names_what_withholds_it(autojump_clock: Clock) -> None:
-    """Its run may go on at an executor that is cut off as the owner is killed."""
+async def test_stalled_job_reports_its_cause(autojump_clock: Clock) -> None:
+    """The job's run may continue on an executor partitioned as the owner is killed."""
     async with EmulatedSite.open(hosts=3) as site:
         owner = await site.wait_for_owner()
         other = next(host for name, host in site.hosts.items() if name != owner)
@@ -38,15 +38,15 @@
             site.executors.by_id[silent].is_cut = True
             site.kill_host(owner)
             await trio.sleep(6.0)
-        told = [event for event in events if event["message_type"] == "job.stands"]
-        assert told, "one executor of four is silent, so there is room"
-        assert told[0]["cause"] == "an earlier owner's run may be at a silent executor"
-        assert told[0]["silent"] == [silent]
-        assert told[0]["refusals"] == {WorkRefusal.NOT_HEARD.value: 1}
-        assert told[0]["fits"] >= 1
+        reports = [event for event in events if event["message_type"] == "job.stands"]
+        assert reports, "three of four executors are free"
+        assert reports[0]["cause"] == "an earlier owner's run may be at a silent executor"
+        assert reports[0]["silent"] == [silent]
+        assert reports[0]["refusals"] == {WorkRefusal.NOT_HEARD.value: 1}
+        assert reports[0]["fits"] >= 1
 
 
-async def test_executors_that_take_no_work_are_counted_by_reason(autojump_clock: Clock) -> None:
+async def test_refusing_executors_are_counted_by_reason(autojump_clock: Clock) -> None:
     async with EmulatedSite.open(hosts=1) as site:
         host = site.hosts[await site.wait_for_owner()]
         await trio.sleep(0.5)
@@ -58,16 +58,16 @@
         with captured_events() as events:
             await host.requests.accept(site.make_job("a"), 2.0)
             await trio.sleep(2.0)
-        told = next(event for event in events if event["message_type"] == "job.stands")
-        assert told["cause"] == "executors with room take no work"
-        assert told["refusals"] == {
+        report = next(event for event in events if event["message_type"] == "job.stands")
+        assert report["cause"] == "executors with room take no work"
+        assert report["refusals"] == {
             WorkRefusal.LEAVING.value: 2,
             WorkRefusal.SET_ASIDE.value: 2,
         }
         assert "heronthread_jobs_standing 1" in host.render_statistics()
 
 
-async def test_a_full_pool_is_no_standstill(autojump_clock: Clock) -> None:
+async def test_job_in_a_full_pool_is_not_stalled(autojump_clock: Clock) -> None:
     async with EmulatedSite.open(hosts=1, executors=1) as site:
         host = site.hosts[await site.wait_for_owner()]
         with captured_events() as events:
@@ -77,7 +77,7 @@
         assert not [event for event in events if event["message_type"] == "job.stands"]
 
 
-async def test_a_job_that_no_record_names_says_so_while_the_store_is_away(
+async def test_job_without_recorded_executors_reports_the_store_outage(
     autojump_clock: Clock,
 ) -> None:
     async with EmulatedSite.open(hosts=1) as site:
@@ -88,12 +88,12 @@
         host.owner.note_job(site.make_job("a"))
         with captured_events() as events:
             await trio.sleep(4.0)
-        told = [event for event in events if event["message_type"] == "job.stands"]
-        assert told[-1]["cause"] == "the store is away and names no executor with room"
+        reports = [event for event in events if event["message_type"] == "job.stands"]
+        assert reports[-1]["cause"] == "the store is away and names no executor with room"
 
 
 def _make_job(name: str, queue: Queue = BATCH_QUEUE, count: int = 1, **more: Any) -> JobState:
-    """Return a job of tasks that ask for a whole executor each."""
+    """Return a job whose tasks need a whole executor each."""
     step = StepSpec(count, Resources(1_000, 1_000, 8), 2.0, **more)
     job = make_job(JobSpec(name, queue, "t", "", (step,), NOW - 1.0), NOW)
     job.steps[0].ready_at = NOW - 1.0
@@ -101,7 +101,7 @@
 
 
 def _run(job: JobState, states: list[ExecutorState]) -> JobState:
-    """Have a job's tasks run, one at each executor."""
+    """Run a job's tasks, one on each executor."""
     step = job.steps[0]
     for task, state in zip(step.tasks, states, strict=True):
         attempt = Attempt(job.key_of(step, task), 1, state.life, step.spec.need, NOW, Phase.RUNNING)
@@ -113,7 +113,7 @@
 def _find_cause(
     states: list[ExecutorState], *jobs: JobState, **more: Any
 ) -> tuple[WaitCause, list[str]]:
-    """Return why the last job waits after a plan, and what the plan starts."""
+    """Return why the last job waits after a plan, and the jobs that the plan starts."""
     key = TaskKey(jobs[-1].spec.id, 0, 0)
     planner = Planner(jobs, states, DESIRED, NOW, NOW, **more)
     planner.explain = (key,)
@@ -121,12 +121,12 @@
     return planner.causes[key], [group[0].job.spec.id for group in plan.groups]
 
 
-def test_a_start_that_is_planned_is_due() -> None:
+def test_planned_start_is_due() -> None:
     assert _find_cause(make_executors(2), _make_job("a")) == (WaitCause.DUE, ["a"])
 
 
-def test_room_kept_for_a_gang_that_waits() -> None:
-    """Five of the eight are free, more than half are in use, and the gang wants six."""
+def test_capacity_reserved_for_a_gang() -> None:
+    """Five of eight executors are busy, and a gang that needs six reserves the rest."""
     states = make_executors(8)
     busy = _run(_make_job("busy", count=5), states[:5])
     gang = _make_job("gang", GANGS_QUEUE, count=6, gang=True)
@@ -134,29 +134,29 @@
     assert (cause, started) == (WaitCause.RESERVED, [])
 
 
-def test_room_kept_for_urgent_work() -> None:
+def test_capacity_kept_as_headroom() -> None:
     cause, started = _find_cause(make_executors(2), _make_job("a"), urgent_peaks={"pool": 100})
-    assert (cause, started) == (WaitCause.DUE, ["a"]), "no more than a part of a pool is kept"
+    assert (cause, started) == (WaitCause.DUE, ["a"]), "headroom is limited to a part of the pool"
     states = make_executors(3)
     busy = _run(_make_job("busy", count=2), states[:2])
     cause, started = _find_cause(states, busy, _make_job("a"), urgent_peaks={"pool": 100})
     assert (cause, started) == (WaitCause.HEADROOM, [])
 
 
-def test_room_that_the_plan_gives_to_others() -> None:
+def test_capacity_allocated_to_others() -> None:
     urgent = _make_job("urgent", URGENT_QUEUE)
     cause, started = _find_cause(make_executors(1), urgent, _make_job("a"))
     assert (cause, started) == (WaitCause.TAKEN, ["urgent"])
 
 
-def test_a_gang_that_fits_no_rack() -> None:
+def test_gang_that_fits_no_rack() -> None:
     states = make_executors(2 * RACK)
     busy = _run(_make_job("busy", count=2), [states[0], states[RACK]])
     gang = _make_job("gang", GANGS_QUEUE, count=RACK, gang=True, same_rack=True)
     assert _find_cause(states, busy, gang) == (WaitCause.RACK, [])
 
 
-def test_a_task_that_waits_for_room_near_its_data() -> None:
+def test_task_that_waits_for_its_data_rack() -> None:
     states = make_executors(RACK + 1)
     busy = _run(_make_job("busy", count=RACK), states[:RACK])
     near = _make_job("near", data_rack="r0")
@@ -164,7 +164,7 @@
 
 
 @pytest.mark.parametrize("gang", [False, True])
-def test_a_task_that_failed_wherever_there_is_room(gang: bool) -> None:
+def test_task_that_failed_on_all_free_executors(gang: bool) -> None:
     states = make_executors(2)
     job = _make_job("a", GANGS_QUEUE, count=2, gang=gang)
     for task in job.steps[0].tasks:
@@ -173,8 +173,8 @@
 
 
 @pytest.mark.parametrize("gang", [False, True])
-def test_a_limit_of_tasks_at_each_executor(gang: bool) -> None:
-    """A stray run of the step is still at the only executor."""
+def test_spread_limit_reached(gang: bool) -> None:
+    """A stray run of the step is still on the only executor."""
     states = make_executors(1)
     job = _make_job("a", GANGS_QUEUE, gang=gang, spread_limit=1)
     small = Resources(1_000, 1_000, 0)
@@ -191,7 +191,7 @@
     assert found == (WaitCause.APPROVAL, [])
 
 
-def test_what_fills_is_kept_from_what_serves() -> None:
+def test_best_effort_task_beside_serving_tasks() -> None:
     states = make_executors(1)
     serving = _make_job("serving", lasting=True, target_s=0.1)
     filling = _make_job("filling", lasting=True, fills=True)
@@ -201,12 +201,12 @@
     assert _find_cause(states, serving, filling) == (WaitCause.NEIGHBOURS, [])
 
 
-def test_the_store_names_no_executor_with_room() -> None:
+def test_no_recorded_executor_has_capacity() -> None:
     found = _find_cause(make_executors(1), _make_job("a"), is_naming=False)
     assert found == (WaitCause.UNNAMED, [])
 
 
-def test_only_what_is_asked_for_is_explained() -> None:
+def test_only_requested_steps_are_explained() -> None:
     jobs = [_make_job("a", URGENT_QUEUE), _make_job("b"), _make_job("c")]
     planner = Planner(jobs, make_executors(1), DESIRED, NOW, NOW)
     planner.explain = (TaskKey("c", 0, 0),)
@@ -214,18 +214,20 @@
     assert planner.causes == {TaskKey("c", 0, 0): WaitCause.TAKEN}
 
 
-async def _tell_of(site: EmulatedSite, seconds: float, job: str = "a") -> list[dict[str, Any]]:
-    """Hand in a job and return what is told of it within some seconds."""
+async def _collect_reports(
+    site: EmulatedSite, seconds: float, job: str = "a"
+) -> list[dict[str, Any]]:
+    """Submit a job and return the stall reports logged for it within some seconds."""
     host = site.hosts["h0"]
     with captured_events() as events:
         await host.requests.accept(site.make_job(job), 2.0)
         await trio.sleep(seconds)
-    told = [e for e in events if e["message_type"] == "job.stands" and e["job"] == job]
-    assert told, "there is room"
-    return told
+    reports = [e for e in events if e["message_type"] == "job.stands" and e["job"] == job]
+    assert reports, "capacity is free, so the job is stalled"
+    return reports
 
 
-async def test_plans_that_do_not_get_that_far(
+async def test_plan_that_does_not_reach_the_step(
     autojump_clock: Clock, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async with EmulatedSite.open(hosts=1) as site:
@@ -237,22 +239,22 @@
 
         monkeypatch.setattr(Owner, "_plan", plan_for_long)
         await trio.sleep(1.0)
-        told = await _tell_of(site, 3.0)
-        assert {line["cause"] for line in told} == {"no plan has got to it of late"}
+        reports = await _collect_reports(site, 3.0)
+        assert {line["cause"] for line in reports} == {"no plan has got to it of late"}
 
 
-async def test_a_start_that_is_due_and_does_not_go_out(
+async def test_due_start_that_is_not_sent(
     autojump_clock: Clock, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async with EmulatedSite.open(hosts=1) as site:
         await site.wait_for_owner()
         await trio.sleep(1.0)
         monkeypatch.setattr(Orders, "start_group", lambda orders, group: None)
-        told = await _tell_of(site, 3.0)
-        assert {line["cause"] for line in told} == {"its start is due"}
+        reports = await _collect_reports(site, 3.0)
+        assert {line["cause"] for line in reports} == {"its start is due"}
 
 
-def test_a_job_that_is_withheld_has_no_turn() -> None:
+def test_withheld_job_is_not_planned() -> None:
     planner = Planner(
         [_make_job("a")], make_executors(1), DESIRED, NOW, NOW, may_run=lambda _: True
     )
@@ -261,10 +263,10 @@
     assert planner.causes == {}
 
 
-async def test_a_start_that_waits_to_be_named(
+async def test_start_that_waits_for_its_record(
     autojump_clock: Clock, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The store takes 1.8 s for what names the executors of jobs."""
+    """The store takes 1.8 s to record the executors of jobs."""
     async with EmulatedSite.open(hosts=1) as site:
         await site.wait_for_owner()
         await trio.sleep(1.0)
@@ -276,16 +278,16 @@
             return await commit(view, transaction)
 
         monkeypatch.setattr(StoreView, "commit", commit_slowly)
-        told = await _tell_of(site, 2.0)
+        reports = await _collect_reports(site, 2.0)
         assert (
-            told[0]["cause"]
+            reports[0]["cause"]
             == "its start waits for its executors to be looked at and named in the store"
         )
-        assert told[0]["runs"][0][2:4] == ["starting", ""]
+        assert reports[0]["runs"][0][2:4] == ["starting", ""]
 
 
-async def test_room_that_is_kept_is_told_as_what_it_is_kept_for(autojump_clock: Clock) -> None:
-    """A gang that wants four of four executors keeps the three that are free."""
+async def test_reserved_capacity_is_reported_as_the_cause(autojump_clock: Clock) -> None:
+    """A gang that needs all four executors reserves the three that are free."""
     async with EmulatedSite.open(hosts=1, racks=1) as site:
         await site.wait_for_owner()
         accept = site.hosts["h0"].requests.accept
@@ -293,12 +295,12 @@
         await trio.sleep(1.0)
         gang = site.make_job("gang", count=4, accelerators=8, gang=True)
         await accept(gang, 2.0)
-        told = await _tell_of(site, 2.5)
-        assert {line["cause"] for line in told} == {"room is kept for a gang that waits"}
+        reports = await _collect_reports(site, 2.5)
+        assert {line["cause"] for line in reports} == {"room is kept for a gang that waits"}
 
 
-async def _open_standing(site: EmulatedSite, job: str = "a") -> str:
-    """Have a job stand for a silent executor after a takeover; return a host but the owner."""
+async def _stall_job(site: EmulatedSite, job: str = "a") -> str:
+    """Stall a job on a silent executor after a takeover; return a host that is not the owner."""
     first = await site.wait_for_owner()
     other = next(host for name, host in site.hosts.items() if name != first)
     await other.requests.accept(site.make_job(job, work_s=60.0), 2.0)
@@ -311,22 +313,22 @@
     return next(name for name in site.hosts if name != owner)
 
 
-async def test_any_host_that_is_asked_for_a_job_tells_why_it_stands(autojump_clock: Clock) -> None:
+async def test_any_queried_host_reports_why_a_job_is_stalled(autojump_clock: Clock) -> None:
     async with EmulatedSite.open(hosts=3) as site:
-        name = await _open_standing(site)
+        name = await _stall_job(site)
         owner = site.owner_name()
         with captured_events() as events:
             for _ in range(30):
                 await site.hosts[name].requests.find_job("a")
                 await trio.sleep(0.1)
-        told = [e for e in events if e["message_type"] == "job.stands" and "told_by" in e]
-        assert len(told) == 2, "once in 2 s"
-        assert {(line["job"], line["told_by"]) for line in told} == {("a", owner)}
-        assert told[0]["cause"] == "an earlier owner's run may be at a silent executor"
-        assert 1.0 <= told[0]["for_s"] <= told[0]["term_age_s"] < told[1]["for_s"]
+        reports = [e for e in events if e["message_type"] == "job.stands" and "told_by" in e]
+        assert len(reports) == 2, "one report per 2 s"
+        assert {(line["job"], line["told_by"]) for line in reports} == {("a", owner)}
+        assert reports[0]["cause"] == "an earlier owner's run may be at a silent executor"
+        assert 1.0 <= reports[0]["for_s"] <= reports[0]["term_age_s"] < reports[1]["for_s"]
 
 
-async def test_a_host_tells_of_few_jobs_at_a_time(autojump_clock: Clock) -> None:
+async def test_host_limits_reports_per_interval(autojump_clock: Clock) -> None:
     async with EmulatedSite.open(hosts=1) as site:
         await site.wait_for_owner()
         stands = site.hosts["h0"].stands
@@ -337,27 +339,27 @@
         assert len([e for e in events if e["message_type"] == "job.stands"]) == 16
 
 
-async def test_a_stand_is_counted_over_owners_that_told_of_it(autojump_clock: Clock) -> None:
-    """Its second owner knows of it what it was told by the first one."""
+async def test_stall_duration_spans_owners(autojump_clock: Clock) -> None:
+    """The second owner knows the duration reported by the first one."""
     async with EmulatedSite.open(hosts=3) as site:
-        name = await _open_standing(site)
+        name = await _stall_job(site)
         await site.hosts[name].requests.find_job("a")
         owner = site.owner_name()
         assert owner is not None
         with captured_events() as events:
             site.kill_host(owner)
             await trio.sleep(0.1)
-            assert await site.wait_for_owner() == name, "it is the only host that is left"
+            assert await site.wait_for_owner() == name, "the only remaining host"
             await trio.sleep(2.0)
-        told = next(e for e in events if e["message_type"] == "job.stands")
-        assert told["for_s"] < 2.0 < told["known_for_s"]
-        assert told["known_for_s"] < told["accepted_ago_s"]
-        assert told["term_age_s"] < 2.5
-        assert told["silences"][0]["executor"] == told["silent"][0]
-        assert 0.0 < told["silences"][0]["holds_for_s"] < 7.5
+        report = next(e for e in events if e["message_type"] == "job.stands")
+        assert report["for_s"] < 2.0 < report["known_for_s"]
+        assert report["known_for_s"] < report["accepted_ago_s"]
+        assert report["term_age_s"] < 2.5
+        assert report["silences"][0]["executor"] == report["silent"][0]
+        assert 0.0 < report["silences"][0]["holds_for_s"] < 7.5
 
 
-async def test_a_host_tells_that_no_owner_can_be_asked(autojump_clock: Clock) -> None:
+async def test_host_reports_that_no_owner_can_be_queried(autojump_clock: Clock) -> None:
     async with EmulatedSite.open(hosts=2) as site:
         first = await site.wait_for_owner()
         other = next(host for name, host in site.hosts.items() if name != first)
@@ -367,12 +369,12 @@
         with captured_events() as events:
             await other.requests.find_job("a")
             await other.requests.find_job("unknown")
-        told = [e for e in events if e["message_type"] == "job.unowned"]
-        assert [(e["job"], e["owner"], e["stored"]) for e in told] == [("a", first, "running")]
-        assert "refused" in told[0]["reason"]
+        reports = [e for e in events if e["message_type"] == "job.unowned"]
+        assert [(e["job"], e["owner"], e["stored"]) for e in reports] == [("a", first, "running")]
+        assert "refused" in reports[0]["reason"]
 
 
-STAND = JobStand("cause", 1.0, 2, 3.0).encode()
+ENCODED_STALL = JobStand("cause", 1.0, 2, 3.0).encode()
 
 
 @pytest.mark.parametrize(
@@ -382,18 +384,18 @@
         [],
         "text",
         {},
-        *(STAND | change for change in ({"cause": 1}, {"for_s": -1.0}, {"for_s": "1"})),
-        *(STAND | change for change in ({"term": 10**30}, {"term_age_s": float("nan")})),
+        *(ENCODED_STALL | change for change in ({"cause": 1}, {"for_s": -1.0}, {"for_s": "1"})),
+        *(ENCODED_STALL | change for change in ({"term": 10**30}, {"term_age_s": float("nan")})),
     ],
 )
-def test_a_stand_that_can_not_be_read_is_none(stand: Any) -> None:
-    assert JobStand.decode(STAND) == JobStand("cause", 1.0, 2, 3.0)
+def test_malformed_stall_is_rejected(stand: Any) -> None:
+    assert JobStand.decode(ENCODED_STALL) == JobStand("cause", 1.0, 2, 3.0)
     with pytest.raises(MALFORMED):
         JobStand.decode(stand)
 
 
-async def test_a_line_of_a_standing_job_fits_a_pipe(autojump_clock: Clock) -> None:
-    """With ids of 36 characters everywhere."""
+async def test_stall_log_line_fits_into_an_atomic_pipe_write(autojump_clock: Clock) -> None:
+    """All ids have 36 characters."""
     job, lines = "j" * 36, LineWriter()
     async with EmulatedSite.open(hosts=1, executors=0) as site:
         for number in range(20):
@@ -408,15 +410,15 @@
         site.add_executor("free", "r0")
         with captured_events() as events:
             await trio.sleep(5.0)
-        told = [e for e in events if e["message_type"] == "job.stands"]
-        assert len(told[-1]["runs"]) == len(told[-1]["silences"]) == 8
-        lines(told[-1])
+        reports = [e for e in events if e["message_type"] == "job.stands"]
+        assert len(reports[-1]["runs"]) == len(reports[-1]["silences"]) == 8
+        lines(reports[-1])
         assert b'"cut"' not in lines.waiting[-1]
         assert len(lines.waiting[-1]) < WHOLE_BYTES
 
 
-async def test_an_owner_tells_what_it_waits_for(autojump_clock: Clock) -> None:
-    """An executor with a run on it is cut off, and its entry goes before the cell changes hands."""
+async def test_owner_reports_the_executors_it_waits_for(autojump_clock: Clock) -> None:
+    """A partitioned executor with a run loses its entry before a takeover."""
     async with EmulatedSite.open(hosts=2) as site:
         first = await site.wait_for_owner()
         other = next(host for name, host in site.hosts.items() if name != first)
@@ -435,16 +437,16 @@
         loaded, ready = lines["owner.loaded"], lines["owner.ready"]
         assert [row["executor"] for row in loaded["unlisted"]] == [silent]
         assert loaded["term_age_s"] < 1.0 < 7.0 < ready["term_age_s"]
-        told = [e for e in events if e["message_type"] == "owner.waits"]
-        assert 3 <= len(told) <= 4, "each 2 s of 7.5 s, after the first one"
-        assert {line["silent"] for line in told} == {1}
-        row = told[1]["silences"][0]
+        reports = [e for e in events if e["message_type"] == "owner.waits"]
+        assert 3 <= len(reports) <= 4, "one report per 2 s of 7.5 s, after the first 2 s"
+        assert {line["silent"] for line in reports} == {1}
+        row = reports[1]["silences"][0]
         assert (row["executor"], row["listed"]) == (silent, False)
-        assert row["silent_s"] < told[1]["waited_s"] <= told[1]["term_age_s"]
-        assert row["holds_for_s"] < told[0]["silences"][0]["holds_for_s"] < 7.5
+        assert row["silent_s"] < reports[1]["waited_s"] <= reports[1]["term_age_s"]
+        assert row["holds_for_s"] < reports[0]["silences"][0]["holds_for_s"] < 7.5
 
 
-async def test_an_owner_that_hears_all_at_once_waits_for_none(autojump_clock: Clock) -> None:
+async def test_owner_that_reaches_all_executors_reports_no_wait(autojump_clock: Clock) -> None:
     async with EmulatedSite.open(hosts=2) as site:
         first = await site.wait_for_owner()
         await trio.sleep(1.0)
@@ -458,10 +460,10 @@
         assert "owner.waits" not in kinds
 
 
-async def test_a_job_that_was_withheld_until_now_says_so(autojump_clock: Clock) -> None:
-    """No plan has been made since, so none can have left it waiting."""
+async def test_job_withheld_from_the_last_plan_is_reported(autojump_clock: Clock) -> None:
+    """No plan has been made since the job ceased to be withheld."""
     async with EmulatedSite.open(hosts=3) as site:
-        await _open_standing(site)
+        await _stall_job(site)
         host = site.hosts[await site.wait_for_owner()]
         await trio.sleep(1.0)
         assert host.owner is not None
@@ -474,9 +476,9 @@
         assert stand.cause == "it was withheld as the last plan was made"
 
 
-async def test_a_jobs_story_and_the_gauges_tell_that_it_stands(autojump_clock: Clock) -> None:
+async def test_job_story_and_gauges_show_a_stalled_job(autojump_clock: Clock) -> None:
     async with EmulatedSite.open(hosts=3) as site:
-        name = await _open_standing(site)
+        name = await _stall_job(site)
         owner = await site.wait_for_owner()
         reply = await site.hosts[name].ask_peer(owner, Operation.JOB_STORY, {"job": "a"})
         assert isinstance(reply, PeerReply)
@@ -490,8 +492,8 @@
         assert 1.0 < stood_s < float(figures["heronthread_term_age_s"]) < 2.5
 
 
-async def test_the_silent_executors_of_a_job_are_named_first(autojump_clock: Clock) -> None:
-    """Of thirteen that fall silent the last one, by name, has the job."""
+async def test_silent_executors_of_the_job_are_listed_first(autojump_clock: Clock) -> None:
+    """Of thirteen silent executors the last one by name holds the job."""
     async with EmulatedSite.open(hosts=2, executors=12) as site:
         first = await site.wait_for_owner()
         other = next(host for name, host in site.hosts.items() if name != first)
@@ -511,7 +513,7 @@
             await trio.sleep(0.1)
             await site.wait_for_owner()
             await trio.sleep(3.0)
-        told = [event for event in events if event["message_type"] == "job.stands"]
-        assert len(told[0]["silences"]) == 8
-        assert told[0]["silences"][0]["executor"] == at
-        assert told[0]["silences"][1]["executor"] == "e0"
+        reports = [event for event in events if event["message_type"] == "job.stands"]
+        assert len(reports[0]["silences"]) == 8
+        assert reports[0]["silences"][0]["executor"] == at
+        assert reports[0]["silences"][1]["executor"] == "e0"
