--- a/packages/heronthread-dispatch/src/heronthread_dispatch/speed.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/speed.py
@@ -85,7 +85,7 @@
         state.slow_until = now + SLOW_FOR_S
     elif typical_ratio is None and step.spec.gang:
         return
-    elif not _is_behind(attempt, typical_ratio):
+    elif not _is_slower_than_typical(attempt, typical_ratio):
         state.healthy_at = now
         state.slow_until = 0.0
     elif now - state.healthy_at <= HEALTHY_FOR_S:
@@ -118,7 +118,7 @@
     return median(step.ratios.values())
 
 
-def _is_behind(attempt: Attempt, typical_ratio: float | None) -> bool:
+def _is_slower_than_typical(attempt: Attempt, typical_ratio: float | None) -> bool:
     if typical_ratio is None or attempt.ratio is None:
         return False
     return attempt.ratio >= SLOW_RATIO * typical_ratio
@@ -136,7 +136,11 @@
     if has_slowed(attempt):
         return True
     may_be_long = attempt.is_long or task.moves > 0
-    return not may_be_long and state.slow_until > now and _is_behind(attempt, typical_ratio)
+    return (
+        not may_be_long
+        and state.slow_until > now
+        and _is_slower_than_typical(attempt, typical_ratio)
+    )
 
 
 def remaining_s(step: StepState, attempt: Attempt) -> float:
@@ -149,10 +153,12 @@
 
 def restarted_s(step: StepState, attempt: Attempt, typical_ratio: float | None) -> float:
     """Return the time the remaining work would take after a restart on a healthy executor."""
-    kept = attempt.percent / 100 if step.spec.checkpointing else 0.0
+    kept_share = attempt.percent / 100 if step.spec.checkpointing else 0.0
     if has_slowed(attempt):
-        return 100 / attempt.best_rate * (1 - kept)
-    return step.spec.estimate_s * (1.0 if typical_ratio is None else typical_ratio) * (1 - kept)
+        return 100 / attempt.best_rate * (1 - kept_share)
+    return (
+        step.spec.estimate_s * (1.0 if typical_ratio is None else typical_ratio) * (1 - kept_share)
+    )
 
 
 def is_whole(step: StepState, attempt: Attempt) -> bool:
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/stands.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/stands.py
@@ -69,23 +69,23 @@
     Holds at most `MAX_STALLS` jobs, dropping those reported least recently.
     """
 
-    _known: dict[str, _Stall] = field(default_factory=dict)
+    _stalls: dict[str, _Stall] = field(default_factory=dict)
     _reported_at: dict[str, float] = field(default_factory=dict)
 
     def note(self, job: str, for_s: float) -> float:
         """Record a job's stall duration (s) under its owner; return that across owners (s)."""
         now = trio.current_time()
-        since, known = now - for_s, self._known.pop(job, None)
-        if known is not None and now - known.reported_at < SAME_STALL_S:
-            since = min(since, known.since)
-        self._known[job] = _Stall(since, now)
-        if len(self._known) > MAX_STALLS:
-            del self._known[next(iter(self._known))]
+        since, stall = now - for_s, self._stalls.pop(job, None)
+        if stall is not None and now - stall.reported_at < SAME_STALL_S:
+            since = min(since, stall.since)
+        self._stalls[job] = _Stall(since, now)
+        if len(self._stalls) > MAX_STALLS:
+            del self._stalls[next(iter(self._stalls))]
         return now - since
 
     def keep(self, waiting: Collection[str]) -> None:
         """Drop all jobs but the waiting ones; to be called with all jobs that wait."""
-        self._known = {job: known for job, known in self._known.items() if job in waiting}
+        self._stalls = {job: stall for job, stall in self._stalls.items() if job in waiting}
 
     def tell(self, job: str, stand: JobStand, owner: str) -> None:
         """Log what the owner, another host, reports of a job, unless logged recently."""
--- a/packages/heronthread-dispatch/tests/test_capacity.py
+++ b/packages/heronthread-dispatch/tests/test_capacity.py
@@ -23,8 +23,8 @@
 ) -> None:
     async with EmulatedSite.open(hosts=2, executors=2) as site:
         await site.wait_for_owner()
-        for place in site.executors.by_id.values():
-            place.guards = False
+        for executor in site.executors.by_id.values():
+            executor.guards = False
         await _submit(site, "a", count=12, work_s=3.0)
         await trio.sleep(1.0)
         for name in list(site.executors.by_id):
--- a/packages/heronthread-dispatch/tests/test_crashes.py
+++ b/packages/heronthread-dispatch/tests/test_crashes.py
@@ -103,7 +103,7 @@
         await _submit(site, submitted, "good", count=4, work_s=4.0)
         for _ in range(6):
             await trio.sleep(2.0)
-            busy = [name for name, place in site.executors.by_id.items() if place.running]
+            busy = [name for name, executor in site.executors.by_id.items() if executor.running]
             if busy:
                 site.crash_executor(busy[0])
         await trio.sleep(40.0)
--- a/packages/heronthread-dispatch/tests/test_room.py
+++ b/packages/heronthread-dispatch/tests/test_room.py
@@ -57,18 +57,18 @@
         calls.append(offers[0].state.executor.rack)
         return len(calls)
 
-    def ask() -> None:
+    def query_racks() -> None:
         for rack_scope in scope.racks:
-            rack_scope.cached("question", compute)
+            rack_scope.cached("key", compute)
 
-    ask()
-    ask()
+    query_racks()
+    query_racks()
     assert calls == ["a", "b"]
     scope.offers[3].allocate(ONE)
-    ask()
+    query_racks()
     assert calls == ["a", "b", "b"]
     scope.offers[0].add_pending_stop(ONE)
-    ask()
+    query_racks()
     assert calls == ["a", "b", "b", "a"]
 
 
--- a/packages/heronthread-dispatch/tests/test_standing.py
+++ b/packages/heronthread-dispatch/tests/test_standing.py
@@ -172,8 +172,8 @@
         await site.wait_for_owner()
         await trio.sleep(1.0)
         killed_at = trio.current_time()
-        for name, place in list(site.executors.by_id.items()):
-            if place.running and not place.is_cut:
+        for name, executor in list(site.executors.by_id.items()):
+            if executor.running and not executor.is_cut:
                 site.restart_executor(name, 0.2)
         await _kill_owner(site)
         await site.wait_for_owner()
--- a/packages/heronthread-dispatch/tests/test_victims.py
+++ b/packages/heronthread-dispatch/tests/test_victims.py
@@ -44,7 +44,7 @@
     return job
 
 
-def _ask(count: int, accelerators: int, *, gang: bool = True) -> Candidate:
+def _make_candidate(count: int, accelerators: int, *, gang: bool = True) -> Candidate:
     step = StepSpec(count, Resources(100, 100, accelerators), 2.5, gang=gang)
     job = make_job(JobSpec("urgent", URGENT_QUEUE, "t", "", (step,), NOW), NOW)
     job.steps[0].ready_at = NOW
@@ -52,7 +52,9 @@
     return Candidate(job, job.steps[0], URGENT_QUEUE, tasks, False, StepRank((0.0,), NOW, True))
 
 
-def _clear(jobs: list[JobState], candidate: Candidate, offers: list[Offer], stop_s: float = 0.9):
+def _find_victims(
+    jobs: list[JobState], candidate: Candidate, offers: list[Offer], stop_s: float = 0.9
+):
     losses = Losses(jobs, DESIRED, set(), NOW, set(), stop_s)
     return VictimSelector(losses, NOW).find_victims(candidate, len(candidate.tasks), Scope(offers))
 
@@ -60,7 +62,7 @@
 def test_attempt_with_least_work_is_stopped() -> None:
     offers = [_make_offer(0), _make_offer(1)]
     jobs = [_run(offers[0], "old", 8, 6.0, 40.0), _run(offers[1], "young", 8, 1.0, 10.0)]
-    found = _clear(jobs, _ask(1, 8), offers)
+    found = _find_victims(jobs, _make_candidate(1, 8), offers)
     assert found is not None
     assert [attempt.task.job for attempt in found[1]] == ["young"]
     assert found[2] == [offers[1]]
@@ -69,9 +71,13 @@
 def test_attempt_that_ends_before_a_stop_is_waited_for() -> None:
     offers = [_make_offer(0), _make_offer(1)]
     jobs = [_run(offers[0], "nearly done", 8, 9.0, 93.0), _run(offers[1], "young", 8, 1.0, 10.0)]
-    cost, stopped, chosen = _clear(jobs, _ask(1, 8), offers, stop_s=0.9) or (1.0, [], [])
+    cost, stopped, chosen = _find_victims(jobs, _make_candidate(1, 8), offers, stop_s=0.9) or (
+        1.0,
+        [],
+        [],
+    )
     assert (cost, stopped, chosen) == (0.0, [], [offers[0]])
-    found = _clear(jobs, _ask(1, 8), offers, stop_s=0.1)
+    found = _find_victims(jobs, _make_candidate(1, 8), offers, stop_s=0.1)
     assert found is not None and [attempt.task.job for attempt in found[1]] == ["young"]
 
 
@@ -79,10 +85,10 @@
     """Four accelerators become free anyway, so the other four must come from the longer run."""
     offer = _make_offer(0)
     jobs = [_run(offer, "nearly done", 4, 1.0, 60.0), _run(offer, "stays", 4, 6.0, 40.0)]
-    found = _clear(jobs, _ask(1, 8), [offer], stop_s=0.9)
+    found = _find_victims(jobs, _make_candidate(1, 8), [offer], stop_s=0.9)
     assert found is not None and [attempt.task.job for attempt in found[1]] == ["stays"]
     jobs = [_run(_make_offer(1), "elsewhere", 8, 1.0, 10.0), *jobs]
-    assert _clear(jobs, _ask(2, 8), [offer], stop_s=0.9) is None
+    assert _find_victims(jobs, _make_candidate(2, 8), [offer], stop_s=0.9) is None
 
 
 def test_stopped_attempt_is_not_also_counted_as_ending() -> None:
@@ -93,7 +99,7 @@
     offer.add_pending_stop(stopped.need)
     offer.allocate(stopped.need)  # for the task it is stopped for
     losses = Losses(jobs, DESIRED, set(), NOW, {id(stopped)}, 0.9)
-    candidate = _ask(1, 4)
+    candidate = _make_candidate(1, 4)
     found = VictimSelector(losses, NOW).find_victims(candidate, 1, Scope([offer]))
     assert found is not None and [attempt.task.job for attempt in found[1]] == ["stays"]
 
@@ -101,8 +107,8 @@
 def test_nothing_is_stopped_for_a_gang_that_would_not_fit() -> None:
     offers = [_make_offer(0), _make_offer(1)]
     jobs = [_run(offers[0], "a", 8, 6.0, 40.0), _run(offers[1], "b", 8, 1.0, 10.0)]
-    assert _clear(jobs, _ask(3, 8), offers) is None
-    some = _clear(jobs, _ask(3, 8, gang=False), offers)
+    assert _find_victims(jobs, _make_candidate(3, 8), offers) is None
+    some = _find_victims(jobs, _make_candidate(3, 8, gang=False), offers)
     assert some is not None and len(some[2]) == 2
 
 
@@ -144,8 +150,8 @@
             while offer.projected.accelerators >= 4 and source.random() < 0.9:
                 size = source.choice((1, 2, 4))
                 jobs.append(_run(offer, f"{trial}-{len(jobs)}", size, source.uniform(0.1, 7), 5.0))
-        candidate = _ask(source.randint(1, 6), source.choice((2, 4, 8)))
-        found = _clear(jobs, candidate, offers, stop_s=0.0)
+        candidate = _make_candidate(source.randint(1, 6), source.choice((2, 4, 8)))
+        found = _find_victims(jobs, candidate, offers, stop_s=0.0)
         least = _find_min_loss(offers, len(candidate.tasks), candidate.step.spec.need)
         assert (found is None) == (least is None)
         if found is not None and least is not None:
--- a/tests/plain_planner/victims.py
+++ b/tests/plain_planner/victims.py
@@ -39,7 +39,7 @@
 
     candidate: Candidate
     projected: dict[str, Resources]
-    here: dict[str, int] = field(default_factory=dict)
+    placed_counts: dict[str, int] = field(default_factory=dict)
     victims: list[Attempt] = field(default_factory=list)
     victim_ids: set[int] = field(default_factory=set)
     chosen: list[Offer] = field(default_factory=list)
@@ -73,7 +73,7 @@
         self._now = now
         self._stops = stops
         self._stop_s = stop_s
-        self._known: dict[tuple[bool, str], list[_Loss]] = {}
+        self._losses_by_executor: dict[tuple[bool, str], list[_Loss]] = {}
         self._ending_soon: dict[str, list[Attempt]] = {}
         self._stopped_ids: set[int] = set()
 
@@ -87,9 +87,9 @@
         search = _VictimSearch(candidate, {offer.state.id: offer.projected for offer in scope})
         if not self._can_fit(search, count, scope):
             return None
-        options = {offer.state.id: self._cheapest_here(search, offer) for offer in scope}
+        options = {offer.state.id: self._cheapest_option_at(search, offer) for offer in scope}
         for _ in range(count):
-            best = self._cheapest_room(search, scope, options)
+            best = self._cheapest_offer(search, scope, options)
             if best is None and (candidate.step.spec.gang or not search.chosen):
                 return None
             if best is None:
@@ -98,7 +98,7 @@
             changed = self._apply(search, offer, option)
             for other in scope:
                 if other.state.id in changed or search.has_lasting_victims:
-                    options[other.state.id] = self._cheapest_here(search, other)
+                    options[other.state.id] = self._cheapest_option_at(search, other)
         return search.cost, search.victims, search.chosen
 
     def _can_fit(self, search: _VictimSearch, count: int, scope: list[Offer]) -> bool:
@@ -107,23 +107,23 @@
             return True
         need, found = search.need, 0
         for offer in scope:
-            most = search.projected[offer.state.id]
+            projected = search.projected[offer.state.id]
             ending = self._find_ending_soon(search.candidate, offer, search.victim_ids)
             for loss in self._list_evictable(search.candidate, offer):
                 if id(loss.attempt) not in ending:
-                    most = most.plus(loss.attempt.need)
+                    projected = projected.plus(loss.attempt.need)
             if search.candidate.waited_s(self._now) < END_WAIT_S:
-                most = self._add_ending_soon(offer, most, search.victim_ids)
-            found += max(0, count_fits(need, most))
+                projected = self._add_ending_soon(offer, projected, search.victim_ids)
+            found += max(0, count_fits(need, projected))
         return found >= count
 
-    def _cheapest_room(
+    def _cheapest_offer(
         self, search: _VictimSearch, scope: list[Offer], options: dict[str, _Option | None]
     ) -> tuple[Offer, _Option] | None:
         limit = search.candidate.step.spec.spread_limit
         best: tuple[Offer, _Option] | None = None
         for offer in scope:
-            if limit and search.here.get(offer.state.id, 0) >= limit:
+            if limit and search.placed_counts.get(offer.state.id, 0) >= limit:
                 continue
             option = options[offer.state.id]
             if option is None or (best is not None and option.cost >= best[1].cost):
@@ -148,11 +148,11 @@
                     )
                     changed.add(member.executor)
         search.projected[offer.state.id] = search.projected[offer.state.id].minus(search.need)
-        search.here[offer.state.id] = search.here.get(offer.state.id, 0) + 1
+        search.placed_counts[offer.state.id] = search.placed_counts.get(offer.state.id, 0) + 1
         search.chosen.append(offer)
         return changed
 
-    def _cheapest_here(self, search: _VictimSearch, offer: Offer) -> _Option | None:
+    def _cheapest_option_at(self, search: _VictimSearch, offer: Offer) -> _Option | None:
         """Return what to stop on one executor so that one more task fits; None if it cannot fit."""
         need, projected, victim_ids = (
             search.need,
@@ -186,15 +186,15 @@
     def _list_evictable(self, candidate: Candidate, offer: Offer) -> list[_Loss]:
         """Return the attempts on an executor that a candidate may stop, cheapest first."""
         key = (candidate.guaranteed, offer.state.id)
-        if key not in self._known:
+        if key not in self._losses_by_executor:
             losses = [
                 _Loss(self._loss(attempt), attempt)
                 for attempt in offer.state.attempts.values()
                 if self._may_take(candidate, attempt)
             ]
-            self._known[key] = sorted(losses, key=lambda loss: loss.core_seconds)
+            self._losses_by_executor[key] = sorted(losses, key=lambda loss: loss.core_seconds)
         stopped = self._stopped()
-        return [loss for loss in self._known[key] if id(loss.attempt) not in stopped]
+        return [loss for loss in self._losses_by_executor[key] if id(loss.attempt) not in stopped]
 
     def _find_ending_soon(
         self, candidate: Candidate, offer: Offer, victim_ids: set[int]
--- a/tests/test_planner_equivalence.py
+++ b/tests/test_planner_equivalence.py
@@ -111,14 +111,14 @@
         self.jobs.append(job)
         return job
 
-    def run_some(self, job: JobState) -> None:
+    def run_first_step(self, job: JobState) -> None:
         """Run the tasks of the job's first step on executors with enough free capacity."""
         step = job.steps[0]
         ends_soon = self._chance(0.2)
         for task in step.tasks:
-            offers = [s for s in self.executors if step.spec.need.fits_in(s.free)]
-            if offers and (step.spec.gang or self._chance(0.8)):
-                state = self.source.choice(offers)
+            states = [s for s in self.executors if step.spec.need.fits_in(s.free)]
+            if states and (step.spec.gang or self._chance(0.8)):
+                state = self.source.choice(states)
                 key = job.key_of(step, task)
                 self._place(step, key, state, 95.0 if ends_soon else self.source.uniform(1, 100))
                 task.attempt = state.attempts[key]
@@ -144,7 +144,7 @@
                         need = step.spec.need
                         state.occupy_astray(Attempt(task, 9, state.life, need, NOW, Phase.STOPPING))
 
-    def stop_some(self) -> None:
+    def stop_some_steps(self) -> None:
         for job in self.jobs:
             for step in job.steps:
                 if self._chance(0.1):
@@ -156,8 +156,8 @@
 def _make_state(seed: int) -> tuple[list[JobState], list[ExecutorState]]:
     generator = _Generator(seed)
     for number in range(generator.source.randint(0, 20)):
-        generator.run_some(generator.make_job(f"r{number}"))
-    generator.stop_some()
+        generator.run_first_step(generator.make_job(f"r{number}"))
+    generator.stop_some_steps()
     for number in range(generator.source.randint(1, 25)):
         generator.make_job(f"w{number}")
     generator.add_stray_runs(random.Random(seed))
@@ -220,7 +220,7 @@
 @pytest.mark.parametrize("make", [PlainPlanner, Planner])
 def test_starts_obey_the_spread_limit(make: type[Planner]) -> None:
     """Stray runs count against the spread limit until they are stopped."""
-    limited = beside_strays = 0
+    limited = beside_stray_runs = 0
     for seed in range(400):
         jobs, executors = _make_state(seed)
         held: Counter[tuple[str, int, int, str]] = Counter()
@@ -234,11 +234,11 @@
                 key = start.job.key_of(start.step, start.task)
                 place = (key.job, key.step, key.occurrence, start.executor.id)
                 limited += 1
-                beside_strays += held[place] > 0
+                beside_stray_runs += held[place] > 0
                 held[place] += 1
                 assert held[place] <= limit, f"seed {seed}, {place}"
     assert limited >= 300
-    assert beside_strays >= 20
+    assert beside_stray_runs >= 20
 
 
 def test_generated_states_cover_every_kind_of_decision() -> None:
