--- a/packages/heronthread-dispatch/src/heronthread_dispatch/approval.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/approval.py
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Question:
-    """A request to approve executor lives for a step; `step` is the key of its first task."""
+    """A request to approve executor instances for a step; `step` is the key of its first task."""
 
     step: TaskKey
     lives: tuple[Life, ...]
@@ -80,14 +80,14 @@
         self._has_queued = trio.Event()
 
     def find_ticket(self, step: TaskKey, life: Life) -> str | None:
-        """Return a step's valid ticket for an executor's life, None if there is none."""
+        """Return a step's valid ticket for an executor instance, None if there is none."""
         ticket = self._tickets[step].get(life)
         if ticket is None or lasting_time() >= ticket.until:
             return None
         return ticket.text
 
     def is_denied(self, step: TaskKey, life: Life) -> bool:
-        """Whether an executor's life is denied for a step."""
+        """Whether an executor instance is denied for a step."""
         return life in self._denied[step]
 
     def want(self, question: Question) -> None:
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/crashes.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/crashes.py
@@ -20,21 +20,21 @@
 from .statistics import Statistics
 
 YOUNG_S = 0.5
-"""A run started within this time before its executor fell silent may have crashed it."""
+"""A run started within this time before its executor became unresponsive may have crashed it."""
 LONG_RUNNING_S = 10.0
 """A run that has lasted this long is not suspected."""
 CONCURRENT_S = 1.0
-MIN_CORRELATED_SILENCES = 2
+MIN_CORRELATED_FAILURES = 2
 MIN_CORRELATED_IN_RACK = 4
-"""If this many other executors without recent starts, or this many in the same rack, fall silent
-within `CONCURRENT_S`, a power or network failure is as likely as a crashing task."""
-MAX_SILENCES = 256
-"""More than fall silent within `CONCURRENT_S` unless a whole failure domain fails."""
+"""If this many other executors without recent starts, or this many in the same rack, become
+unresponsive within `CONCURRENT_S`, a power or network failure is as likely as a crashing task."""
+MAX_FAILURES = 256
+"""More than become unresponsive within `CONCURRENT_S` unless a whole failure domain fails."""
 
 
 @dataclass(frozen=True, slots=True)
 class ActiveRun:
-    """A run on an executor when it fell silent; `age_s` is the time since it was ordered.
+    """A run on an executor when it became unresponsive; `age_s` is the time since it was ordered.
 
     `seen` tells that a report has listed the run, `has_begun` that it is known to have started: it
     was reported, or its start was answered. `works` is set if a run of the task has far outlived
@@ -50,8 +50,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Silence:
-    """An executor that fell silent at `at` (trio's clock), with the jobs of its recent starts."""
+class ExecutorFailure:
+    """An executor unresponsive since `at` (trio's clock), with the jobs of its recent starts."""
 
     at: float
     life: Life
@@ -73,7 +73,8 @@
 def attribute_crash(runs: Iterable[ActiveRun], is_isolated: bool) -> dict[TaskKey, Blame]:
     """Return the blame of each task that may have crashed an executor.
 
-    With `is_isolated`, no other executors fell silent at the same time for an unrelated reason.
+    With `is_isolated`, no other executors became unresponsive at the same time for an unrelated
+    reason.
     """
     runs = list(runs)
     recently_started = list_recent_starts(runs)
@@ -105,8 +106,8 @@
     """The crashes noted during an owner's term; each is kept with its task until the job is final.
 
     A crash is noted as soon as an executor refuses connections, so that it survives the owner, and
-    withdrawn if the same life reports again. Reports of another life with the same id have no
-    effect. `on_change` is called for each changed task.
+    withdrawn if the same instance reports again. Reports of another instance with the same id have
+    no effect. `on_change` is called for each changed task.
     """
 
     def __init__(
@@ -118,7 +119,7 @@
         self._find_task = find_task
         self._on_change = on_change
         self._statistics = statistics
-        self._silences: deque[Silence] = deque(maxlen=MAX_SILENCES)
+        self._failures: deque[ExecutorFailure] = deque(maxlen=MAX_FAILURES)
         self._noted: dict[Life, set[TaskKey]] = {}
 
     def restore(self, task: TaskKey, state: TaskState) -> None:
@@ -148,14 +149,15 @@
         )
         recently_started = list_recent_starts(self._list_active_runs(state))
         jobs = frozenset(run.task.job for run in recently_started)
-        self._silences.append(Silence(now, state.life, state.executor.rack, jobs))
+        self._failures.append(ExecutorFailure(now, state.life, state.executor.rack, jobs))
 
     def note_down(self, state: ExecutorState) -> None:
-        """Note that a silent executor may have crashed, until it reports again.
+        """Note that an unresponsive executor may have crashed, until it reports again.
 
-        To be called repeatedly while it is silent, as starts then in flight may turn out never to
-        have begun. Tasks are only suspected if the executor has not refused a connection, as it
-        may be partitioned. Without attempts of this owner there, notes of earlier owners are kept.
+        To be called repeatedly while it is unresponsive, as starts then in flight may turn out
+        never to have begun. Tasks are only suspected if the executor has not refused a connection,
+        as it may be partitioned. Without attempts of this owner there, notes of earlier owners are
+        kept.
         """
         if not state.at_silence:
             return
@@ -165,22 +167,23 @@
         self._note(state, blame_by_task)
 
     def withdraw(self, state: ExecutorState) -> None:
-        """Withdraw what was noted of an executor, as the same life has reported again."""
+        """Withdraw what was noted of an executor, as the same instance has reported again."""
         state.silent_since = None
         state.has_refused = False
         state.at_silence = ()
-        self._silences = deque(
-            (s for s in self._silences if s.life != state.life), maxlen=MAX_SILENCES
+        self._failures = deque(
+            (s for s in self._failures if s.life != state.life), maxlen=MAX_FAILURES
         )
         self._note(state, {})
 
     def confirm(self, state: ExecutorState, now: float) -> None:
-        """Note that a life is over, now that concurrent silences are known.
+        """Note that an instance is over, now that concurrent failures are known.
 
         Without attempts of this owner there, notes of earlier owners are kept.
         """
         if state.silent_since is None:
-            # Another life was found before this one was missed, so starts in flight never began.
+            # Another instance was found before this one was missed, so starts in flight never
+            # began.
             self.note_silence(state, now)
             state.at_silence = tuple(
                 (attempt, age_s) for attempt, age_s in state.at_silence if not attempt.is_on_its_way
@@ -192,28 +195,28 @@
         self._log(state, blame_by_task, now)
 
     def _attribute(self, state: ExecutorState) -> dict[TaskKey, Blame]:
-        """Return the blame for a silent executor; none if it was expected to leave."""
+        """Return the blame for an unresponsive executor; none if it was expected to leave."""
         if state.leaves_at is not None or not state.listed_at_silence:
             return {}
         runs = self._list_active_runs(state)
-        concurrent = self._list_concurrent_silences(state)
-        unexplained = sum(not silence.recently_started_jobs for silence in concurrent)
-        in_rack = sum(silence.rack == state.executor.rack for silence in concurrent)
+        concurrent = self._list_concurrent_failures(state)
+        unexplained = sum(not failure.recently_started_jobs for failure in concurrent)
+        in_rack = sum(failure.rack == state.executor.rack for failure in concurrent)
         return attribute_crash(
-            runs, unexplained < MIN_CORRELATED_SILENCES and in_rack < MIN_CORRELATED_IN_RACK
+            runs, unexplained < MIN_CORRELATED_FAILURES and in_rack < MIN_CORRELATED_IN_RACK
         )
 
-    def _list_concurrent_silences(self, state: ExecutorState) -> list[Silence]:
-        """Return concurrent silences without recent starts of the jobs on this executor."""
+    def _list_concurrent_failures(self, state: ExecutorState) -> list[ExecutorFailure]:
+        """Return concurrent failures without recent starts of the jobs on this executor."""
         at = state.silent_since
         assert at is not None
         jobs = {attempt.task.job for attempt, _ in state.at_silence}
         return [
-            silence
-            for silence in self._silences
-            if silence.life != state.life
-            and abs(silence.at - at) <= CONCURRENT_S
-            and jobs.isdisjoint(silence.recently_started_jobs)
+            failure
+            for failure in self._failures
+            if failure.life != state.life
+            and abs(failure.at - at) <= CONCURRENT_S
+            and jobs.isdisjoint(failure.recently_started_jobs)
         ]
 
     def _note(self, state: ExecutorState, blame_by_task: dict[TaskKey, Blame]) -> None:
@@ -231,7 +234,7 @@
             self._on_change(key)
 
     def _list_active_runs(self, state: ExecutorState) -> list[ActiveRun]:
-        """Return the runs that may have been active on an executor when it fell silent."""
+        """Return the runs that may have been active on an executor when it became unresponsive."""
         return [
             ActiveRun(
                 attempt.task,
@@ -257,7 +260,7 @@
             **describe_life(state.life),
             runs=len(runs),
             silent_s=round(now - (state.silent_since or now), 3),
-            beside=len(self._list_concurrent_silences(state)),
+            beside=len(self._list_concurrent_failures(state)),
             leaves=state.leaves_at is not None,
             listed=state.listed_at_silence,
             blamed=[
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/model.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/model.py
@@ -252,7 +252,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Executor:
-    """One life of an executor; a later life may have the same id.
+    """One instance of an executor; a later instance may have the same id.
 
     `leaves_in_s` is the least time until it leaves, None if it is not draining; `born` is its
     start time in Unix ms, 0 if unknown.
@@ -270,7 +270,7 @@
 
     @property
     def life(self) -> Life:
-        """The identifier of this life among all lives of the same id."""
+        """The identifier of this instance among all instances of the same id."""
         return Life(self.id, self.born)
 
     @property
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/planner.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/planner.py
@@ -92,7 +92,7 @@
         self._victims = VictimSelector(self._losses, now)
         self._approvals = approvals
         self._waiting: deque[Candidate] | None = None
-        self._stray_runs: dict[tuple[str, int, int], Counter[str]] = {}
+        self._orphaned_runs: dict[tuple[str, int, int], Counter[str]] = {}
 
     @property
     def is_complete(self) -> bool:
@@ -107,7 +107,7 @@
         """
         deadline = trio.current_time() + budget_s if budget_s < float("inf") else budget_s
         self.plan = Plan()
-        self._stray_runs = _count_stray_runs(self._offer_by_executor.values())
+        self._orphaned_runs = _count_orphaned_runs(self._offer_by_executor.values())
         if self._waiting is None:
             self._waiting = deque(sorted(self._candidates(), key=lambda c: c.rank.sort_key))
         else:
@@ -455,7 +455,7 @@
     def _place_pinned(self, candidate: Candidate) -> list[tuple[TaskState, Offer]]:
         """Allocate capacity for pinned tasks on their executors, as far as they fit.
 
-        An executor that is resting after failures still accepts them, as no other executor may run
+        An executor in backoff after failures still accepts them, as no other executor may run
         them.
         """
         placed: list[tuple[TaskState, Offer]] = []
@@ -588,13 +588,13 @@
     def _count_by_executor(self, candidate: Candidate) -> Counter[str]:
         """Return how many runs of a step with a spread limit each executor may hold.
 
-        Includes stray runs, which count against the limit of their executor until they end.
+        Includes orphaned runs, which count against the limit of their executor until they end.
         """
         step = candidate.step
         if not step.spec.spread_limit:
             return Counter()
         attempts = Counter(attempt.executor for attempt in step.attempts())
-        return attempts + self._stray_runs.get(_step_key(candidate.key), Counter())
+        return attempts + self._orphaned_runs.get(_step_key(candidate.key), Counter())
 
     def _may_ignore_data_rack(self, candidate: Candidate, eligible: Scope) -> bool:
         if eligible.find_rack(candidate.step.spec.data_rack) is None:
@@ -672,7 +672,7 @@
     return task.job, task.step, task.occurrence
 
 
-def _count_stray_runs(offers: Iterable[Offer]) -> dict[tuple[str, int, int], Counter[str]]:
+def _count_orphaned_runs(offers: Iterable[Offer]) -> dict[tuple[str, int, int], Counter[str]]:
     """Return, by step, how many runs other than current attempts each executor holds."""
     counts: dict[tuple[str, int, int], Counter[str]] = {}
     for offer in offers:
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/waiting.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/waiting.py
@@ -233,13 +233,13 @@
             silent=sorted(self.cell.list_silent_ids() | self.cell.list_unsure())[:MAX_LISTED],
             runs=[_describe_attempt(attempt, now) for attempt in attempts[:MAX_LISTED]],
             standing=standing,
-            silences=self._list_silences(job, now),
+            silences=self._describe_possible_holders(job, now),
             term=self.cell.term.number,
             term_age_s=self.term_age_s,
         )
 
-    def _list_silences(self, job: JobState, now: float) -> list[dict[str, Any]]:
-        """Describe the silent executors that may hold a run of a job.
+    def _describe_possible_holders(self, job: JobState, now: float) -> list[dict[str, Any]]:
+        """Describe the unresponsive executors that may hold a run of a job.
 
         Those of the job's own attempts come first, then those recorded for it, then the others.
         """
@@ -253,12 +253,12 @@
 
 
 def describe_silences(states: Iterable[ExecutorState], now: float) -> list[dict[str, Any]]:
-    """Describe as many silent executors as a log line may list."""
-    return [_describe_silence(state, now) for state in islice(states, MAX_LISTED)]
+    """Describe as many unresponsive executors as a log line may list."""
+    return [_describe_unresponsive(state, now) for state in islice(states, MAX_LISTED)]
 
 
-def _describe_silence(state: ExecutorState, now: float) -> dict[str, Any]:
-    """Describe how long an executor has been silent and how long runs there may still last (s)."""
+def _describe_unresponsive(state: ExecutorState, now: float) -> dict[str, Any]:
+    """Describe how long an executor has been unresponsive and until when it may hold runs (s)."""
     since = state.silent_since
     return {
         "executor": state.id,
--- a/packages/heronthread-dispatch/tests/test_blame.py
+++ b/packages/heronthread-dispatch/tests/test_blame.py
@@ -1,4 +1,4 @@
-"""Attribution of a crash from the runs on the executor and from concurrent silences."""
+"""Attribution of a crash from the runs on the executor and from concurrent failures."""
 
 from heronthread_dispatch.crashes import ActiveRun, attribute_crash
 from heronthread_dispatch.model import Life, TaskKey
@@ -41,7 +41,7 @@
     }
 
 
-def test_correlated_silences_leave_no_certain_blame() -> None:
+def test_correlated_failures_leave_no_certain_blame() -> None:
     assert attribute_crash([_run(GOOD, 0.1)], is_isolated=False) == {GOOD: Blame.SUSPECTED}
     assert attribute_crash([_run(GOOD, 3.0)], is_isolated=False) == {}
 
--- a/packages/heronthread-dispatch/tests/test_crashes.py
+++ b/packages/heronthread-dispatch/tests/test_crashes.py
@@ -83,7 +83,7 @@
 
 
 async def test_crashes_are_counted_across_owners(autojump_clock: Clock) -> None:
-    """Each owner is killed 0.3 s after a crash, before another life answers at the address."""
+    """Each owner is killed 0.3 s after a crash, before another instance answers at the address."""
     submitted: dict[str, Told] = {}
     task = TaskKey("bad", 0, 0)
     async with EmulatedSite.open(hosts=4, executors=8) as site:
@@ -111,7 +111,7 @@
 
 
 async def test_task_is_given_up_if_executors_restart_elsewhere(autojump_clock: Clock) -> None:
-    """No other life answers at the address: the entry is removed and the holding time ends."""
+    """No other instance answers at the address: the entry is removed and the lease ends."""
     submitted: dict[str, Told] = {}
     task = TaskKey("bad", 0, 0)
     async with EmulatedSite.open(hosts=2, executors=8) as site:
@@ -159,7 +159,7 @@
 
 
 async def test_executor_leaving_unannounced_blames_no_task(autojump_clock: Clock) -> None:
-    """The executor's entry is removed while it still works; then another life answers there."""
+    """The executor's entry is removed while it still works; then another instance answers there."""
     submitted: dict[str, Told] = {}
     async with EmulatedSite.open(hosts=2, executors=4) as site:
         await site.wait_for_owner()
@@ -179,7 +179,7 @@
 async def test_start_at_an_unnoticed_crashed_executor_blames_no_task(
     autojump_clock: Clock,
 ) -> None:
-    """The start is answered at once with the fact that another life is there."""
+    """The start is answered at once with the fact that another instance is there."""
     submitted: dict[str, Told] = {}
     async with EmulatedSite.open(hosts=2, executors=2) as site:
         await site.wait_for_owner()
@@ -255,7 +255,7 @@
 ) -> None:
     """Three gangs of four, each member of which crashes its executor 10 ms after its start.
 
-    Guards against endless restarts if crashed executors stay silent or lose their entries.
+    Guards against endless restarts if crashed executors stay unresponsive or lose their entries.
     """
     submitted: dict[str, Told] = {}
     draw = random.Random(seed)
@@ -276,7 +276,7 @@
 
 
 async def test_crashes_without_refusals_are_counted_across_owners(autojump_clock: Clock) -> None:
-    """Each owner is killed 2.5 s after a crash, before the silent executor's holding time is over.
+    """Each owner is killed 2.5 s after a crash, before the unresponsive executor's lease is over.
 
     Guards against crashes that are recorded only once that time is over.
     """
--- a/packages/heronthread-dispatch/tests/test_planner.py
+++ b/packages/heronthread-dispatch/tests/test_planner.py
@@ -108,14 +108,14 @@
 
 
 @pytest.mark.parametrize("gang", [False, True])
-def test_stray_run_counts_against_the_spread_limit_until_it_ends(gang: bool) -> None:
+def test_orphaned_run_counts_against_the_spread_limit_until_it_ends(gang: bool) -> None:
     """An executor that still holds an earlier run of a step with a spread limit of one is full."""
     states = make_executors(3)
     need = Resources(100, 100, 1)
     step = StepSpec(2, need, 1.0, gang=gang, spread_limit=1)
     job = make_job(JobSpec("a", DESIRED.queues[0], "t", "", (step,), NOW), NOW)
-    stray = Attempt(TaskKey("a", 0, 1), 1, states[0].life, need, NOW, Phase.STOPPING)
-    states[0].occupy_astray(stray)
+    orphan = Attempt(TaskKey("a", 0, 1), 1, states[0].life, need, NOW, Phase.STOPPING)
+    states[0].occupy_astray(orphan)
     starts = _list_starts(Planner([job], states, DESIRED, NOW, NOW).make())
     assert sorted(executor for _, _, executor in starts) == [states[1].id, states[2].id]
     other = make_job(JobSpec("b", DESIRED.queues[0], "t", "", (step,), NOW), NOW)
@@ -123,7 +123,7 @@
     assert len(starts) == 2, "a run of another job says nothing of this step"
     starts = _list_starts(Planner([job], states[:2], DESIRED, NOW, NOW).make())
     assert len(starts) == (0 if gang else 1)
-    states[0].release(stray)
+    states[0].release(orphan)
     starts = _list_starts(Planner([job], states[:2], DESIRED, NOW, NOW).make())
     assert len(starts) == 2
 
@@ -156,7 +156,7 @@
 
 @pytest.mark.parametrize("gang", [False, True])
 def test_pinned_task_waits_while_its_executor_accepts_none(gang: bool) -> None:
-    """A resting executor still accepts pinned tasks; a silent or full one accepts none."""
+    """An executor in backoff accepts pinned tasks; an unresponsive or full one does not."""
     states = make_executors(4)
     pins = {1: states[3].id}
     states[3].rest_until = NOW + 5
@@ -169,7 +169,7 @@
 
 @pytest.mark.parametrize("gang", [False, True])
 def test_pinned_task_obeys_pool_label_and_spread_limit(gang: bool) -> None:
-    """A later life of the executor may have other labels or be in another pool."""
+    """A later instance of the executor may have other labels or be in another pool."""
     states = make_executors(4)
     pins = {1: states[3].id}
     assert 1 not in _plan_pinned(_make_pinned(3, gang=gang, label="other"), states, pins)
@@ -179,10 +179,10 @@
     assert _plan_pinned(_make_pinned(3, gang=gang), states, pins) == {}
     states = make_executors(4)
     limited = _make_pinned(3, gang=gang, spread_limit=1)
-    stray = Attempt(TaskKey("a", 0, 1), 1, states[3].life, Resources(), NOW, Phase.STOPPING)
-    states[3].occupy_astray(stray)
+    orphan = Attempt(TaskKey("a", 0, 1), 1, states[3].life, Resources(), NOW, Phase.STOPPING)
+    states[3].occupy_astray(orphan)
     assert 1 not in _plan_pinned(limited, states, pins)
-    states[3].release(stray)
+    states[3].release(orphan)
     placed = _plan_pinned(_make_pinned(3, gang=gang, spread_limit=1), states, pins)
     assert placed[1] == states[3].id
     assert len(set(placed.values())) == len(placed)
--- a/packages/heronthread-dispatch/tests/test_standing.py
+++ b/packages/heronthread-dispatch/tests/test_standing.py
@@ -1,6 +1,6 @@
 """Ready jobs must not stay idle beside free capacity after a takeover.
 
-Guards against a new owner that withholds all jobs while any executor is silent.
+Guards against a new owner that withholds all jobs while any executor is unresponsive.
 """
 
 import pytest
@@ -12,8 +12,8 @@
 MAX_STALL_S = 3.0
 """The longest time that a ready job may wait beside twice the capacity it needs."""
 MAX_TAKEOVER_WAIT_S = 7.5
-"""A new owner's longest wait for a silent executor: 1.2 s for late orders of the previous owner,
-and a holding time of 6 s on a clock that may be slow."""
+"""A new owner's longest wait for an unresponsive executor: 1.2 s for late orders of the previous
+owner, and a lease of 6 s on a clock that may be slow."""
 RECORD_INTERVAL_S = 1.0
 """The interval at which an owner records the progress of such a wait in the store."""
 
@@ -26,10 +26,10 @@
     return next(iter(site.hosts))
 
 
-async def test_unstarted_jobs_do_not_wait_for_silent_executors(
+async def test_unstarted_jobs_do_not_wait_for_unresponsive_executors(
     autojump_clock: Clock,
 ) -> None:
-    """Twelve jobs are accepted while the cell has no owner and an idle executor is silent."""
+    """Twelve jobs are accepted while the cell has no owner and an idle executor is unresponsive."""
     async with EmulatedSite.open(hosts=3, executors=6) as site:
         await site.wait_for_owner()
         await trio.sleep(1.0)
@@ -48,7 +48,7 @@
 
 
 async def test_second_takeover_does_not_restart_the_wait(autojump_clock: Clock) -> None:
-    """A run is given up with its silent executor; the next run ends as its executor restarts."""
+    """A run is given up with its executor; the next run ends as its executor restarts."""
     async with EmulatedSite.open(hosts=3, executors=6) as site:
         owner = await site.wait_for_owner()
         host = next(name for name in site.hosts if name != owner)
@@ -71,9 +71,9 @@
 async def test_owner_waits_only_for_the_rest_of_a_holding_time(
     autojump_clock: Clock,
 ) -> None:
-    """Guards against owners that count a silent executor's holding time from their own start.
+    """Guards against owners that count an unresponsive executor's lease from their own start.
 
-    With owners that last for less than the holding time, the job would never start again.
+    With owners that last for less than the lease, the job would never start again.
     """
     async with EmulatedSite.open(hosts=3, executors=6) as site:
         owner = await site.wait_for_owner()
@@ -95,7 +95,7 @@
 async def test_gang_whose_wait_ends_during_a_store_outage_starts(
     autojump_clock: Clock,
 ) -> None:
-    """A gang's executor is silent after a takeover, and the store fails before the gang may
+    """A gang's executor is unresponsive after a takeover, and the store fails before the gang may
     restart.
 
     No executors are recorded in advance for the gang, as a rack is more than a twelfth of this
@@ -120,7 +120,7 @@
 async def _run_across_executors(site: EmulatedSite, count: int, *, gang: bool = False) -> set[int]:
     """Run tasks of half an executor each, partition one executor and restart the others.
 
-    Return the tasks on the partitioned one, which keep running there until their holding time ends.
+    Return the tasks on the partitioned one, which keep running there until their lease ends.
     """
     owner = await site.wait_for_owner()
     host = next(name for name in site.hosts if name != owner)
@@ -164,7 +164,7 @@
 async def test_third_owner_knows_which_tasks_may_be_running(autojump_clock: Clock) -> None:
     """The second owner starts ten of twelve tasks and is killed as their executors restart.
 
-    The third one knows only from the store that the other two may run on the silent executor.
+    The third one knows only from the store that the other two may run on the unresponsive executor.
     """
     async with EmulatedSite.open(hosts=3, executors=24) as site:
         possibly_running = await _run_across_executors(site, 12)
--- a/packages/heronthread-dispatch/tests/test_waiting.py
+++ b/packages/heronthread-dispatch/tests/test_waiting.py
@@ -174,7 +174,7 @@
 
 @pytest.mark.parametrize("gang", [False, True])
 def test_spread_limit_reached(gang: bool) -> None:
-    """A stray run of the step is still on the only executor."""
+    """An orphaned run of the step is still on the only executor."""
     states = make_executors(1)
     job = _make_job("a", GANGS_QUEUE, gang=gang, spread_limit=1)
     small = Resources(1_000, 1_000, 0)
@@ -300,7 +300,7 @@
 
 
 async def _stall_job(site: EmulatedSite, job: str = "a") -> str:
-    """Stall a job on a silent executor after a takeover; return a host that is not the owner."""
+    """Stall a job on an unresponsive executor after a takeover; return a host but the owner."""
     first = await site.wait_for_owner()
     other = next(host for name, host in site.hosts.items() if name != first)
     await other.requests.accept(site.make_job(job, work_s=60.0), 2.0)
@@ -492,8 +492,8 @@
         assert 1.0 < stood_s < float(figures["heronthread_term_age_s"]) < 2.5
 
 
-async def test_silent_executors_of_the_job_are_listed_first(autojump_clock: Clock) -> None:
-    """Of thirteen silent executors the last one by name holds the job."""
+async def test_unresponsive_executors_of_the_job_are_listed_first(autojump_clock: Clock) -> None:
+    """Of thirteen unresponsive executors the last one by name holds the job."""
     async with EmulatedSite.open(hosts=2, executors=12) as site:
         first = await site.wait_for_owner()
         other = next(host for name, host in site.hosts.items() if name != first)
--- a/tests/test_planner_equivalence.py
+++ b/tests/test_planner_equivalence.py
@@ -132,7 +132,7 @@
         attempt.percent = 100.0 if step.spec.lasting else percent
         state.occupy(attempt)
 
-    def add_stray_runs(self, source: random.Random) -> None:
+    def add_orphaned_runs(self, source: random.Random) -> None:
         """Add runs that are not their tasks' current attempts."""
         for job in self.jobs:
             for step in job.steps:
@@ -160,7 +160,7 @@
     generator.stop_some_steps()
     for number in range(generator.source.randint(1, 25)):
         generator.make_job(f"w{number}")
-    generator.add_stray_runs(random.Random(seed))
+    generator.add_orphaned_runs(random.Random(seed))
     return generator.jobs, generator.executors
 
 
@@ -219,8 +219,8 @@
 
 @pytest.mark.parametrize("make", [PlainPlanner, Planner])
 def test_starts_obey_the_spread_limit(make: type[Planner]) -> None:
-    """Stray runs count against the spread limit until they are stopped."""
-    limited = beside_stray_runs = 0
+    """Orphaned runs count against the spread limit until they are stopped."""
+    limited = beside_orphaned_runs = 0
     for seed in range(400):
         jobs, executors = _make_state(seed)
         held: Counter[tuple[str, int, int, str]] = Counter()
@@ -234,11 +234,11 @@
                 key = start.job.key_of(start.step, start.task)
                 place = (key.job, key.step, key.occurrence, start.executor.id)
                 limited += 1
-                beside_stray_runs += held[place] > 0
+                beside_orphaned_runs += held[place] > 0
                 held[place] += 1
                 assert held[place] <= limit, f"seed {seed}, {place}"
     assert limited >= 300
-    assert beside_stray_runs >= 20
+    assert beside_orphaned_runs >= 20
 
 
 def test_generated_states_cover_every_kind_of_decision() -> None:
