--- a/packages/heronthread-dispatch/src/heronthread_dispatch/planner.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/planner.py
@@ -432,13 +432,13 @@
         others = [offer for offer in eligible.offers if offer.state.id not in avoided]
         if count_free(others, spec.need) < required:
             return WaitCause.AVOIDED
-        return WaitCause.SPREAD if spec.spread_limit else WaitCause.TAKEN
+        return WaitCause.SPREAD if spec.spread_limit else WaitCause.ALLOCATED_TO_OTHERS
 
     def _find_exclusion_cause(self, candidate: Candidate) -> WaitCause:
         """Return why executors with enough free capacity are not eligible for a step."""
         spec, queue = candidate.step.spec, candidate.queue
         if candidate.allowed_executors is not None:
-            return WaitCause.UNNAMED
+            return WaitCause.NO_RECORDED_EXECUTOR
         if queue.approval is not None:
             approved = replace(candidate, queue=replace(queue, approval=None))
             if _has_capacity(self._list_eligible(approved, False), candidate):
@@ -448,7 +448,7 @@
             offers = [offer for offer in offers if spec.label in offer.state.executor.labels]
         compatible = self._colocation.filter_compatible(spec, offers)
         is_barred = _has_capacity(offers, candidate) and not _has_capacity(compatible, candidate)
-        return WaitCause.NEIGHBOURS if is_barred else WaitCause.TAKEN
+        return WaitCause.COLOCATION if is_barred else WaitCause.ALLOCATED_TO_OTHERS
 
     # Placement of single tasks
 
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/waiting.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/waiting.py
@@ -195,7 +195,7 @@
         applies = any if step.spec.gang else all
         if job.has_attempts:
             is_unsent = all(a.phase is Phase.STARTING and not a.sends for a in job.attempts())
-            return WaitCause.NAMING if is_unsent else WaitCause.OWN_RUN
+            return WaitCause.RECORDING_EXECUTORS if is_unsent else WaitCause.UNSETTLED_RUN
         if not pins.keys().isdisjoint(keys):
             return WaitCause.LATE_START
         if withheld is not None and applies(map(withheld, keys)):
@@ -209,8 +209,10 @@
     def _find_plan_cause(self, key: TaskKey) -> WaitCause:
         """Return why no plan has started a step that may start."""
         if trio.current_time() - self._planned_at >= PLAN_OVERDUE_S:
-            return WaitCause.NO_PLAN
-        unknown = WaitCause.UNEXPLAINED if self.cell.parts.is_naming() else WaitCause.UNNAMED
+            return WaitCause.PLAN_OVERDUE
+        unknown = (
+            WaitCause.UNEXPLAINED if self.cell.parts.is_naming() else WaitCause.NO_RECORDED_EXECUTOR
+        )
         return self._causes.get(key, unknown)
 
     def _report(self, stalled: StalledJob, now: float, standing: int) -> None:
--- a/packages/heronthread-dispatch/tests/test_waiting.py
+++ b/packages/heronthread-dispatch/tests/test_waiting.py
@@ -146,7 +146,7 @@
 def test_capacity_allocated_to_others() -> None:
     urgent = _make_job("urgent", URGENT_QUEUE)
     cause, started = _find_cause(make_executors(1), urgent, _make_job("a"))
-    assert (cause, started) == (WaitCause.TAKEN, ["urgent"])
+    assert (cause, started) == (WaitCause.ALLOCATED_TO_OTHERS, ["urgent"])
 
 
 def test_gang_that_fits_no_rack() -> None:
@@ -198,12 +198,12 @@
     for job in (serving, filling):
         job.steps[0].spec = replace(job.steps[0].spec, need=Resources(1_000, 1_000, 0))
     _run(serving, states)
-    assert _find_cause(states, serving, filling) == (WaitCause.NEIGHBOURS, [])
+    assert _find_cause(states, serving, filling) == (WaitCause.COLOCATION, [])
 
 
 def test_no_recorded_executor_has_capacity() -> None:
     found = _find_cause(make_executors(1), _make_job("a"), is_naming=False)
-    assert found == (WaitCause.UNNAMED, [])
+    assert found == (WaitCause.NO_RECORDED_EXECUTOR, [])
 
 
 def test_only_requested_steps_are_explained() -> None:
@@ -211,7 +211,7 @@
     planner = Planner(jobs, make_executors(1), DESIRED, NOW, NOW)
     planner.explain = (TaskKey("c", 0, 0),)
     planner.make()
-    assert planner.causes == {TaskKey("c", 0, 0): WaitCause.TAKEN}
+    assert planner.causes == {TaskKey("c", 0, 0): WaitCause.ALLOCATED_TO_OTHERS}
 
 
 async def _collect_reports(
