--- a/packages/heronthread-dispatch/src/heronthread_dispatch/crashes.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/crashes.py
@@ -36,7 +36,7 @@
 class ActiveRun:
     """A run on an executor when it became unresponsive; `age_s` is the time since it was ordered.
 
-    `seen` tells that a report has listed the run, `has_begun` that it is known to have started: it
+    `seen` means that a report has listed the run, `has_begun` that it is known to have started: it
     was reported, or its start was answered. `works` is set if a run of the task has far outlived
     its start, so that starting it crashes nothing by itself.
     """
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/gangs.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/gangs.py
@@ -42,7 +42,7 @@
     ) -> list[tuple[TaskState, Offer]]:
         """Allocate capacity for all members at once, or for none if they do not all fit.
 
-        `avoids_headroom` tells that `eligible` excludes the headroom for urgent work; `held`
+        With `avoids_headroom`, `eligible` excludes the headroom for urgent work; `held`
         counts the step's runs that each executor still holds.
         """
         scopes = self.list_scopes(candidate, eligible)
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/guarantee.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/guarantee.py
@@ -8,7 +8,7 @@
 
 def find_guaranteed(jobs: list[JobState], desired: DesiredState, wall_now: float) -> set[str]:
     """Return the urgent jobs covered by their customers' guarantees, oldest jobs first."""
-    left = {tenant.name: tenant.guaranteed for tenant in desired.tenants}
+    remaining_by_customer = {tenant.name: tenant.guaranteed for tenant in desired.tenants}
     found = set()
     urgent = [
         job
@@ -18,9 +18,9 @@
         and job.is_due(wall_now)
     ]
     for job in sorted(urgent, key=lambda j: j.spec.accepted_at):
-        wanted = max(s.spec.count * s.spec.need.accelerators for s in job.steps)
-        room = left.get(job.spec.tenant, 0)
-        if wanted <= room:
-            left[job.spec.tenant] = room - wanted
+        required = max(s.spec.count * s.spec.need.accelerators for s in job.steps)
+        remaining = remaining_by_customer.get(job.spec.tenant, 0)
+        if required <= remaining:
+            remaining_by_customer[job.spec.tenant] = remaining - required
             found.add(job.spec.id)
     return found
