--- a/packages/heronthread-scheduling/src/heronthread_scheduling/__init__.py
+++ b/packages/heronthread-scheduling/src/heronthread_scheduling/__init__.py
@@ -1,6 +1,6 @@
-"""The decisions of heronthread: gangs, guarantees, reclaim, order and placement.
+"""Scheduling logic of heronthread: gangs, guarantees, reclaim, queue order and placement.
 
-Nothing here does input or output, reads a clock or depends on an event loop.
+The package does no I/O, reads no clock and needs no event loop.
 """
 
 from .audit import RunningGang, Violation, find_violations
@@ -11,13 +11,13 @@
 from .guarantee import Block, Guarantee
 from .job import Gang, Job, JobClass, Shape
 from .plan import Plan, PlannedJob, Snapshot, plan_event
-from .policy import DEFAULT, NAMED, Policy
+from .policy import DEFAULT_POLICY, NAMED, Policy
 from .problem import Problem, Refused, json_path, problems_of
 from .scheduler import CellScheduler
 from .topology import Level, Pool, Topology, Worker
 
 __all__ = [
-    "DEFAULT",
+    "DEFAULT_POLICY",
     "NAMED",
     "Accepted",
     "Block",
--- a/packages/heronthread-scheduling/src/heronthread_scheduling/audit.py
+++ b/packages/heronthread-scheduling/src/heronthread_scheduling/audit.py
@@ -1,7 +1,7 @@
-"""An independent check of the promises on capacity.
+"""Independent check of the capacity invariants.
 
-Nothing here reads the blocks, indexes or counters of the scheduler: it places every
-guarantee from scratch, from the list of running gangs alone.
+The check shares no state with the scheduler: it places every guarantee from scratch,
+given only the list of running gangs.
 """
 
 from __future__ import annotations
@@ -13,16 +13,16 @@
 from .job import Places, Shape
 from .topology import Level, Pool, Topology
 
-SEARCH_STEPS = 20_000
+MAX_SEARCH_STEPS = 20_000
 
-Contents = tuple[tuple[int, ...], ...]
+UnitSignature = tuple[tuple[int, ...], ...]
 
 
 @dataclass(frozen=True, slots=True)
 class RunningGang:
-    """A running gang as the audit sees it.
+    """A running gang, as input to the audit.
 
-    `uses` names the guarantee block it runs in, and `block_places` that block's units;
+    `block_id` names the guarantee block it runs in, and `block_places` that block's units;
     both are None outside any block.
     """
 
@@ -31,13 +31,13 @@
     shape: Shape
     places: Places
     reclaimable: bool
-    uses: str | None = None
+    block_id: str | None = None
     block_places: Places | None = None
 
 
 @dataclass(frozen=True, slots=True)
 class Violation:
-    """One broken promise: a stable code and a sentence."""
+    """A violated invariant: a stable code and a description."""
 
     code: str
     text: str
@@ -50,7 +50,7 @@
     guarantees: Iterable[Guarantee],
     gangs: Iterable[RunningGang],
 ) -> list[Violation]:
-    """Return every broken promise on gangs, accelerators and guarantees of one pool."""
+    """Return the violations of gangs, capacity and guarantees in one pool."""
     listed = [gang for gang in gangs if gang.shape.pool is pool]
     found = [v for gang in listed for v in _check_gang(topology, gang)]
     found += _check_double_use(topology, pool, listed)
@@ -90,15 +90,15 @@
     guarantees: list[Guarantee],
     gangs: list[RunningGang],
 ) -> list[Violation]:
-    room = [0 if lost[i] else w.count(pool) for i, w in enumerate(topology.workers)]
+    free = [0 if lost[i] else w.count(pool) for i, w in enumerate(topology.workers)]
     in_use: dict[str, Places] = {}
     for gang in gangs:
-        if gang.uses is not None:
-            in_use[gang.uses] = gang.block_places or gang.places
+        if gang.block_id is not None:
+            in_use[gang.block_id] = gang.block_places or gang.places
         elif not gang.reclaimable:
-            _take(room, gang.places)
+            _subtract_units(free, gang.places)
     for places in in_use.values():
-        _take(room, places)
+        _subtract_units(free, places)
     unused: list[tuple[str, Shape]] = []
     for guarantee in guarantees:
         if guarantee.shape.pool is not pool:
@@ -106,73 +106,75 @@
         prefix = f"{guarantee.customer}/{guarantee.shape}#"
         busy = sum(1 for block_id in in_use if block_id.startswith(prefix))
         unused += [(guarantee.customer, guarantee.shape)] * (guarantee.count - busy)
-    if any(units < 0 for units in room) or not _can_place(topology, room, unused):
+    if any(units < 0 for units in free) or not _can_place(topology, free, unused):
         names = ", ".join(sorted({customer for customer, _ in unused}))
         return [Violation("guarantee", f"the unused guarantees of {names} can't all be placed")]
     return []
 
 
-def _take(room: list[int], places: Places) -> None:
+def _subtract_units(free: list[int], places: Places) -> None:
     for worker, units in places.items():
-        room[worker] -= units
+        free[worker] -= units
 
 
-def _can_place(topology: Topology, room: list[int], unused: list[tuple[str, Shape]]) -> bool:
-    """Search for a place for every shape at once, strictest and largest first."""
+def _can_place(topology: Topology, free: list[int], unused: list[tuple[str, Shape]]) -> bool:
+    """Search for disjoint places for all shapes, strictest adjacency and largest size first."""
     shapes = sorted((s for _, s in unused), key=lambda s: (s.adjacency, -s.units, -s.total))
-    budget = [SEARCH_STEPS]
-    return _search(topology, list(room), shapes, 0, budget)
+    budget = [MAX_SEARCH_STEPS]
+    return _place_remaining(topology, list(free), shapes, 0, budget)
 
 
-def _search(
-    topology: Topology, room: list[int], shapes: list[Shape], index: int, budget: list[int]
+def _place_remaining(
+    topology: Topology, free: list[int], shapes: list[Shape], index: int, budget: list[int]
 ) -> bool:
     if index == len(shapes):
         return True
     if budget[0] <= 0:
         return False
     shape = shapes[index]
-    units = sorted(topology.workers_in[shape.adjacency], key=lambda ws: sum(room[w] for w in ws))
-    tried: set[Contents] = set()
+    units = sorted(topology.workers_in[shape.adjacency], key=lambda ws: sum(free[w] for w in ws))
+    tried: set[UnitSignature] = set()
     for workers in units:
-        contents = _contents(topology, room, workers[0], shape.adjacency)
-        if contents in tried:
+        signature = _unit_signature(topology, free, workers[0], shape.adjacency)
+        if signature in tried:
             continue
-        tried.add(contents)
-        for order in _member_orders(room, workers, shape.units):
+        tried.add(signature)
+        for order in _member_orders(free, workers, shape.units):
             budget[0] -= 1
-            places = _fill(room, order, shape)
+            places = _place_members(free, order, shape)
             if places is None:
                 break
-            _take(room, places)
-            if _search(topology, room, shapes, index + 1, budget):
+            _subtract_units(free, places)
+            if _place_remaining(topology, free, shapes, index + 1, budget):
                 return True
-            _take(room, {worker: -count for worker, count in places.items()})
+            _subtract_units(free, {worker: -count for worker, count in places.items()})
     return False
 
 
-def _contents(topology: Topology, room: list[int], worker: int, level: Level) -> Contents:
-    """Describe a unit by what is free in it and in each larger unit around it.
+def _unit_signature(
+    topology: Topology, free: list[int], worker: int, level: Level
+) -> UnitSignature:
+    """Describe a unit by the free units in it and in each larger unit that contains it.
 
-    Units described alike are interchangeable, so only one of them need be tried.
+    Units with equal signatures are interchangeable, so only one of them is tried.
     """
     around = [lv for lv in Level if lv >= level]
     units = [topology.workers_in[lv][topology.unit_of[lv][worker]] for lv in around]
-    return tuple(tuple(sorted(room[w] for w in workers)) for workers in units)
+    return tuple(tuple(sorted(free[w] for w in workers)) for workers in units)
 
 
-def _member_orders(room: list[int], workers: list[int], size: int) -> list[list[int]]:
-    tight = sorted(workers, key=lambda w: (room[w] % size, room[w], w))
-    full = sorted(workers, key=lambda w: (room[w], w))
-    empty = sorted(workers, key=lambda w: (-room[w], w))
+def _member_orders(free: list[int], workers: list[int], size: int) -> list[list[int]]:
+    tight = sorted(workers, key=lambda w: (free[w] % size, free[w], w))
+    full = sorted(workers, key=lambda w: (free[w], w))
+    empty = sorted(workers, key=lambda w: (-free[w], w))
     return [tight, full, empty]
 
 
-def _fill(room: list[int], workers: list[int], shape: Shape) -> Places | None:
+def _place_members(free: list[int], workers: list[int], shape: Shape) -> Places | None:
     places: Places = {}
     missing = shape.members
     for worker in workers:
-        count = min(missing, max(0, room[worker]) // shape.units)
+        count = min(missing, max(0, free[worker]) // shape.units)
         if count:
             places[worker] = count * shape.units
             missing -= count
--- a/packages/heronthread-scheduling/src/heronthread_scheduling/capacity.py
+++ b/packages/heronthread-scheduling/src/heronthread_scheduling/capacity.py
@@ -8,19 +8,20 @@
 from .topology import Level, Pool, Topology
 
 
-class Index:
-    """How many members of each size every unit of every level could host.
+class CapacityIndex:
+    """Number of gang members of each size that fit in every unit of every level.
 
-    `value[worker]` is the number of units available there. `hosts[level][unit][size]` is
-    the sum over the unit's workers of `value // size`; sizes run from 1 to the largest
-    worker. A change of one worker costs O(levels x size) and a fit check O(1).
+    `available[worker]` is the number of units available on a worker.
+    `member_counts[level][unit][size]` is the sum of `available // size` over the workers of
+    the unit, for sizes from 1 to the largest worker; the worker level has no row, so index
+    0 is the rack. Updating a worker costs O(levels x size), checking a fit O(1).
     """
 
     def __init__(self, topology: Topology, values: list[int], largest: int) -> None:
         self.topology = topology
         self.largest = largest
-        self.value = [0] * len(values)
-        self.hosts = [
+        self.available = [0] * len(values)
+        self.member_counts = [
             [[0] * (largest + 1) for _ in topology.workers_in[level]]
             for level in (Level.RACK, Level.DOMAIN, Level.CELL)
         ]
@@ -29,12 +30,12 @@
 
     def set(self, worker: int, value: int) -> None:
         """Record that `worker` has `value` units available."""
-        old = self.value[worker]
+        old = self.available[worker]
         if old == value:
             return
-        self.value[worker] = value
+        self.available[worker] = value
         rows = [
-            self.hosts[level - 1][self.topology.unit_of[level][worker]]
+            self.member_counts[level - 1][self.topology.unit_of[level][worker]]
             for level in (Level.RACK, Level.DOMAIN, Level.CELL)
         ]
         for size in range(1, max(old, value) + 1):
@@ -44,20 +45,20 @@
                     row[size] += change
 
     def members(self, level: Level, unit: int, size: int) -> int:
-        """Return how many members of `size` units the unit could host now."""
+        """Return how many members of `size` units fit in the unit now."""
         if size > self.largest:
             return 0
         if level is Level.WORKER:
-            return self.value[unit] // size
-        return self.hosts[level - 1][unit][size]
+            return self.available[unit] // size
+        return self.member_counts[level - 1][unit][size]
 
     def fits(self, shape: Shape, level: Level, unit: int) -> bool:
-        """Tell whether a gang of `shape` fits in one unit of `level`."""
+        """Return whether a gang of `shape` fits in one unit of `level`."""
         return self.members(level, unit, shape.units) >= shape.members
 
 
 def count_usable(topology: Topology, free: Sequence[int], shape: Shape) -> int:
-    """Return the units that gangs of `shape` could occupy, given those free per worker."""
+    """Return how many units gangs of `shape` could occupy, given the free units per worker."""
     usable = 0
     for workers in topology.workers_in[shape.adjacency]:
         members = sum(max(0, free[worker]) // shape.units for worker in workers)
@@ -66,12 +67,12 @@
 
 
 class PoolCapacity:
-    """What is used, reserved for guarantees and pinned in one pool of one cell.
+    """Used, reserved and pinned units of one pool of one cell.
 
-    On each worker: `used` counts units held by gangs; `reserved` those in guarantee
-    blocks, used or not; `pinned` those held outside blocks by gangs that can't be taken
-    back. The safety condition is `reserved + pinned <= total` on every worker: then each
-    block can be emptied of everything that does not belong to it.
+    On each worker, `used` counts the units held by gangs, `reserved` the units of
+    guarantee blocks whether used or not, and `pinned` the units held outside of blocks by
+    gangs that can't be reclaimed. Keeping `reserved + pinned <= total` on every worker
+    ensures that every gang that does not belong in a block can be reclaimed from it.
     """
 
     def __init__(self, topology: Topology, pool: Pool) -> None:
@@ -82,10 +83,10 @@
         self.used = [0] * len(self.total)
         self.reserved = [0] * len(self.total)
         self.pinned = [0] * len(self.total)
-        self.held: set[int] = set()
+        self.excluded: set[int] = set()
         self.largest = max(self.total, default=0)
-        self.free = Index(topology, self.total, self.largest)
-        self.open = Index(topology, self.total, self.largest)
+        self.free = CapacityIndex(topology, self.total, self.largest)
+        self.free_unreserved = CapacityIndex(topology, self.total, self.largest)
 
     def capacity(self, worker: int) -> int:
         """Return the units of a live worker, or 0 for a lost one."""
@@ -96,27 +97,27 @@
         return max(0, self.capacity(worker) - self.used[worker])
 
     def unreserved(self, worker: int) -> int:
-        """Return the units that neither a block nor a pinned gang has, used or not."""
+        """Return the units outside of blocks and pinned gangs, whether used or not."""
         return max(0, self.capacity(worker) - self.reserved[worker] - self.pinned[worker])
 
     def refresh(self, worker: int) -> None:
-        """Bring both indexes up to date for one worker; a held worker shows no units."""
+        """Update both indexes for one worker; an excluded worker has no units in them."""
         free = self.free_units(worker)
         available = min(free, self.unreserved(worker))
-        if worker in self.held:
+        if worker in self.excluded:
             free = available = 0
         self.free.set(worker, free)
-        self.open.set(worker, available)
+        self.free_unreserved.set(worker, available)
 
-    def hold(self, workers: list[int]) -> None:
-        """Hide `workers` from both indexes, for a gang that has a reservation there."""
-        previous = self.held
-        self.held = set(workers)
-        for worker in sorted(previous ^ self.held):
+    def exclude(self, workers: list[int]) -> None:
+        """Exclude exactly `workers` from both indexes, because they are held for a large gang."""
+        previous = self.excluded
+        self.excluded = set(workers)
+        for worker in sorted(previous ^ self.excluded):
             self.refresh(worker)
 
     def occupy(self, places: Places, *, pinned: bool) -> None:
-        """Count the units of `places` as used; `pinned` ones also as not reclaimable."""
+        """Count the units of `places` as used, and as not reclaimable if `pinned`."""
         self._change(self.used, places, 1)
         if pinned:
             self._change(self.pinned, places, 1)
@@ -128,11 +129,11 @@
             self._change(self.pinned, places, -1)
 
     def pin(self, places: Places) -> None:
-        """Count units that are already used as not reclaimable from now on."""
+        """Count units that are already used as not reclaimable."""
         self._change(self.pinned, places, 1)
 
     def reserve(self, places: Places) -> None:
-        """Count the units of `places` as belonging to a guarantee block."""
+        """Count the units of `places` as reserved for a guarantee block."""
         self._change(self.reserved, places, 1)
 
     def unreserve(self, places: Places) -> None:
@@ -140,7 +141,7 @@
         self._change(self.reserved, places, -1)
 
     def set_lost(self, worker: int, lost: bool) -> None:
-        """Mark a worker as lost or returned."""
+        """Mark a worker as lost or live."""
         self.lost[worker] = lost
         self.refresh(worker)
 
--- a/packages/heronthread-scheduling/src/heronthread_scheduling/cell.py
+++ b/packages/heronthread-scheduling/src/heronthread_scheduling/cell.py
@@ -1,4 +1,4 @@
-"""From the models of the file to what the scheduler of one cell needs."""
+"""Conversion of the desired-state models into the scheduler's input, cell by cell."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CellSpec:
-    """Everything declared about one cell."""
+    """The declared state of one cell."""
 
     name: str
     topology: Topology
@@ -26,7 +26,7 @@
     shares: dict[str, float]
 
     def has_same_capacity(self, other: CellSpec) -> bool:
-        """Whether workers, guarantees and policy are the same; quotas and shares may differ."""
+        """Return whether workers, guarantees and policy are equal; quotas and shares may differ."""
         return (
             self.topology.workers == other.topology.workers
             and self.guarantees == other.guarantees
@@ -34,13 +34,13 @@
         )
 
     def make_scheduler(self) -> CellScheduler:
-        """Return a scheduler with nothing waiting or running."""
+        """Return a scheduler without waiting or running jobs."""
         return CellScheduler(self.topology, self.guarantees, self.policy, self.quotas, self.shares)
 
 
 @dataclass(frozen=True, slots=True)
 class EventJob:
-    """One job of an event with what the daemon needs besides the decision."""
+    """A job of an event with its cell, the event's id and its payload."""
 
     job: Job
     cell: str
@@ -49,7 +49,7 @@
 
 
 def build_cells(state: DesiredState) -> dict[str, CellSpec]:
-    """Return the cells of a checked file by name."""
+    """Return the cells of a validated file by name."""
     return {cell.name: _build_cell(state, cell.name) for cell in state.topology.cells}
 
 
@@ -100,14 +100,14 @@
     """Yield the guarantees that a cell must back."""
     for customer in state.customers:
         for guarantee in customer.guarantees:
-            home = guarantee.cell or customer_cell(state, customer)
-            if home == cell:
+            cell_name = guarantee.cell or customer_cell(state, customer)
+            if cell_name == cell:
                 shape = to_shape(guarantee.shape, state, cell)
                 yield Guarantee(customer.name, shape, guarantee.count)
 
 
 def customer_cell(state: DesiredState, customer: CustomerModel) -> str:
-    """Return the cell where a customer's jobs run unless they say otherwise."""
+    """Return the cell where a customer's jobs run; the first cell unless one is declared."""
     return customer.cell or state.topology.cells[0].name
 
 
@@ -119,9 +119,9 @@
 def to_shape(model: ShapeModel, state: DesiredState, cell: str) -> Shape:
     """Return the shape in whole units.
 
-    A member that needs more than its accelerators' even share of a worker's processors or
-    memory is charged the accelerators that the larger share corresponds to; the smallest
-    share in the cell counts.
+    A member that needs more cores or memory than the proportional share of its accelerators
+    is charged as many accelerators as that share corresponds to, on the worker of the cell
+    with the smallest share per accelerator.
     """
     level = Level[model.adjacency.upper()]
     if not model.accelerators:
@@ -150,10 +150,10 @@
 
 
 def make_job(state: DesiredState, model: JobModel, job_id: str, start: float) -> EventJob:
-    """Return one job of a checked model, released at `start` (seconds).
+    """Return one job of a validated model, released at `start` (seconds).
 
-    A job outlives its customer or class in the file: then it counts as one of the first
-    cell and of a plain class.
+    If its customer or class is no longer in the file, the job belongs to the first cell
+    or gets a class with default settings.
     """
     customer = find_customer(state, model.customer)
     job_class = find_class(state, model.job_class) or JobClass(model.job_class)
@@ -174,12 +174,12 @@
 
 
 def event_id(event: EventModel) -> str:
-    """Return the id of one occurrence of an event: its name and its local start."""
+    """Return the id of one occurrence of an event: its name and local start time."""
     return f"{event.name}@{event.start.isoformat(timespec='minutes')}"
 
 
 def event_jobs(state: DesiredState, name: str) -> list[EventJob]:
-    """Return all jobs of an event, in the file's order."""
+    """Return all jobs of an event, in file order."""
     event = next(e for e in state.events if e.name == name)
     start = event.start_time()
     return [
--- a/packages/heronthread-scheduling/src/heronthread_scheduling/cell_state.py
+++ b/packages/heronthread-scheduling/src/heronthread_scheduling/cell_state.py
@@ -1,26 +1,26 @@
-"""What the decisions of one cell work on: capacity, guarantees, waiting and running gangs."""
+"""State of one cell: capacity, guarantees, waiting jobs and running gangs."""
 
 from __future__ import annotations
 
 from collections.abc import Iterable
 
 from .capacity import PoolCapacity
-from .guarantee import Blocks, Guarantee
+from .guarantee import Guarantee, GuaranteeBlocks
+from .hold import Hold
 from .job import Gang, Job
 from .placement import FirstFit, PlacementPolicy
 from .policy import EstimateName, Policy
 from .queue import WaitingQueue
-from .reservation import Hold
 from .topology import Level, Pool, Topology
 
 
 class PoolState:
-    """Capacity, guarantee blocks and reservation of one pool."""
+    """Capacity, guarantee blocks and the hold for a large gang in one pool."""
 
     def __init__(self, topology: Topology, pool: Pool, guarantees: Iterable[Guarantee]) -> None:
         self.capacity = PoolCapacity(topology, pool)
         own = [guarantee for guarantee in guarantees if guarantee.shape.pool is pool]
-        self.blocks = Blocks(self.capacity, own)
+        self.blocks = GuaranteeBlocks(self.capacity, own)
         self.guaranteed = sorted({g.shape for g in own}, key=lambda s: (-s.total, s))
         self.placement: PlacementPolicy = FirstFit()
         self.hold: Hold | None = None
@@ -31,7 +31,7 @@
 
 
 class CellState:
-    """Pools, queue and gangs of one cell, by which the ways of starting judge."""
+    """Pools, waiting queue and gangs of one cell, shared by the scheduler and `job_start`."""
 
     def __init__(
         self,
@@ -60,13 +60,13 @@
         return [gang for gang in found if gang.job.shape.pool is pool]
 
     def estimate(self, job: Job) -> float:
-        """Return the length that backfill assumes for a job, in seconds."""
+        """Return the run time that backfill assumes for a job, in seconds."""
         return job.p95_s if self.policy.estimate is EstimateName.P95 else job.expected_s
 
     def is_large(self, job: Job) -> bool:
-        """Tell whether a gang is large enough to have workers held for it."""
+        """Return whether a gang is large enough to have workers held for it."""
         return job.shape.members > 1 and job.shape.total >= self.large_units(job.shape.pool)
 
     def large_units(self, pool: Pool) -> int:
-        """Return the units from which on a gang of a pool is large."""
+        """Return the smallest size, in units, of a large gang in a pool."""
         return max(2, int(self.policy.large_fraction * self.pools[pool].largest_rack))
--- a/packages/heronthread-scheduling/src/heronthread_scheduling/check.py
+++ b/packages/heronthread-scheduling/src/heronthread_scheduling/check.py
@@ -1,4 +1,4 @@
-"""The whole check of a desired-state file, from its text to a state or its problems."""
+"""Validation of a desired-state file."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from .capacity import PoolCapacity
 from .cell import build_cells, customer_cell, find_class, find_customer, to_shape
 from .desired import MAX_FILE_BYTES, DesiredState, EventModel, JobModel, ShapeModel
-from .guarantee import find_unbackable
+from .guarantee import find_unbacked_blocks
 from .job import Shape
 from .problem import Problem, Refused, problems_of
 from .topology import Pool, Topology
@@ -18,10 +18,10 @@
 def load_desired(
     text: str | bytes, *, now: float | None = None, known: Iterable[EventModel] = ()
 ) -> DesiredState | Refused:
-    """Check a file and return its state, or every problem found.
+    """Validate a file and return its state, or every problem found.
 
-    With `now` (seconds since the epoch) an event in the past is refused, unless the same
-    event stands in `known`, the events already in force.
+    With `now` (seconds since the epoch) an event in the past is refused, unless it is one
+    of `known`, the events already in force.
     """
     data = text.encode() if isinstance(text, str) else text
     if len(data) > MAX_FILE_BYTES:
@@ -71,18 +71,18 @@
     for r, region in enumerate(state.topology.regions):
         for d, domain in enumerate(region.domains):
             path = f"$.topology.regions[{r}].domains[{d}]"
-            yield from _first_use(seen, f"domain {domain.name}", f"{path}.name")
+            yield from _check_unique(seen, f"domain {domain.name}", f"{path}.name")
             for k, rack in enumerate(domain.racks):
-                yield from _first_use(
+                yield from _check_unique(
                     seen, f"rack {domain.name}/{rack.name}", f"{path}.racks[{k}].name"
                 )
                 for g, group in enumerate(rack.workers):
                     where = f"{path}.racks[{k}].workers[{g}].prefix"
                     for number in range(1, group.count + 1):
-                        yield from _first_use(seen, f"worker {group.prefix}{number}", where)
+                        yield from _check_unique(seen, f"worker {group.prefix}{number}", where)
 
 
-def _first_use(seen: dict[str, str], what: str, path: str) -> Iterator[Problem]:
+def _check_unique(seen: dict[str, str], what: str, path: str) -> Iterator[Problem]:
     if what in seen:
         yield Problem(path, f"duplicate {what}, first at {seen[what]}", "give it another name")
     seen.setdefault(what, path)
@@ -121,7 +121,7 @@
 
 def _check_customers(state: DesiredState) -> Iterator[Problem]:
     cells = {cell.name for cell in state.topology.cells}
-    specs = build_cells(state) if not _bad_cells(state, cells) else {}
+    specs = build_cells(state) if not _has_unknown_cells(state, cells) else {}
     for c, customer in enumerate(state.customers):
         path = f"$.customers[{c}]"
         if customer.cell is not None and customer.cell not in cells:
@@ -138,7 +138,7 @@
                 yield from _check_shape(guarantee.shape, state, cell, topology, f"{where}.shape")
 
 
-def _bad_cells(state: DesiredState, cells: set[str]) -> bool:
+def _has_unknown_cells(state: DesiredState, cells: set[str]) -> bool:
     named = [c.cell for c in state.customers]
     named += [g.cell for c in state.customers for g in c.guarantees]
     return any(name is not None and name not in cells for name in named)
@@ -152,14 +152,14 @@
         yield Problem(path, what, "set exactly one of them above 0")
         return
     shape = to_shape(model, state, cell)
-    if not fits_somewhere(shape, topology):
+    if not fits_empty_cell(shape, topology):
         unit = shape.adjacency.name.lower()
         what = f"{shape} fits no {unit} of cell {cell!r}"
         yield Problem(path, what, f"ask for fewer or smaller members, or more than one {unit}")
 
 
-def fits_somewhere(shape: Shape, topology: Topology) -> bool:
-    """Tell whether an empty cell could hold a gang of `shape`."""
+def fits_empty_cell(shape: Shape, topology: Topology) -> bool:
+    """Return whether a gang of `shape` fits in the cell if nothing else runs there."""
     counts = [worker.count(shape.pool) // shape.units for worker in topology.workers]
     units = topology.workers_in[shape.adjacency]
     return any(sum(counts[w] for w in workers) >= shape.members for workers in units)
@@ -167,7 +167,7 @@
 
 def _check_jobs(state: DesiredState) -> Iterator[Problem]:
     cells = {cell.name for cell in state.topology.cells}
-    specs = build_cells(state) if not _bad_cells(state, cells) else {}
+    specs = build_cells(state) if not _has_unknown_cells(state, cells) else {}
     for e, event in enumerate(state.events):
         for j, job in enumerate(event.jobs):
             path = f"$.events[{e}].jobs[{j}]"
@@ -215,9 +215,12 @@
         for pool in Pool:
             guarantees = [g for g in cell.guarantees if g.shape.pool is pool]
             topology = cell.topology
-            missing = find_unbackable(lambda t=topology, p=pool: PoolCapacity(t, p), guarantees)  # type: ignore[misc]
+            missing = find_unbacked_blocks(
+                lambda t=topology, p=pool: PoolCapacity(t, p),  # type: ignore[misc]
+                guarantees,
+            )
             for customer, shape in {(block.customer, block.shape): None for block in missing}:
                 number = [c.name for c in state.customers].index(customer)
                 what = f"cell {cell.name!r} can't back {shape} together with the other guarantees"
-                mend = "lower a guarantee or declare more workers"
-                yield Problem(f"$.customers[{number}].guarantees", what, mend)
+                fix = "lower a guarantee or declare more workers"
+                yield Problem(f"$.customers[{number}].guarantees", what, fix)
--- a/packages/heronthread-scheduling/src/heronthread_scheduling/decision.py
+++ b/packages/heronthread-scheduling/src/heronthread_scheduling/decision.py
@@ -1,4 +1,4 @@
-"""What the scheduler decides, each decision with its reason."""
+"""Decisions of the scheduler and their reasons."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class Cause(StrEnum):
-    """Why a job runs where it does, waits, or is not run; stable across releases."""
+    """Cause of a decision about a job; the values are stable across releases."""
 
     OWN_GUARANTEE = "own-guarantee"
     FREE_PLACE = "free-place"
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Reason:
-    """A stable cause and a sentence for people."""
+    """A stable cause and a human-readable description."""
 
     cause: Cause
     text: str
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Start:
-    """Start `gang` now: everything it needs is free."""
+    """Start `gang` now; all of its places are free."""
 
     gang: Gang
     reason: Reason
@@ -45,7 +45,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Reclaim:
-    """Take `victims` back; `claimant` starts once all of them have stopped."""
+    """Stop `victims` within `stop_within_s`; `claimant` starts once all of them have stopped."""
 
     victims: tuple[Gang, ...]
     claimant: Job
@@ -55,7 +55,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NotRun:
-    """The job leaves the queue without having run."""
+    """The job is rejected, or removed from the queue without having run."""
 
     job: Job
     reason: Reason
@@ -63,14 +63,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Accepted:
-    """The job waits in the queue."""
+    """The job was added to the queue."""
 
     job: Job
 
 
 @dataclass(frozen=True, slots=True)
 class Duplicate:
-    """A job of the same id is already known; nothing changed."""
+    """A job with the same id is already waiting or running; nothing changed."""
 
     job: Job
 
--- a/packages/heronthread-scheduling/src/heronthread_scheduling/desired.py
+++ b/packages/heronthread-scheduling/src/heronthread_scheduling/desired.py
@@ -1,4 +1,4 @@
-"""The desired-state file: the models that check it at the border."""
+"""Models that validate the desired-state file."""
 
 from __future__ import annotations
 
@@ -8,22 +8,22 @@
 
 from pydantic import BaseModel, ConfigDict, Field, StringConstraints, field_validator
 
-from .policy import EstimateName, Limits, OrderName, PlacementName, Policy
+from .policy import EstimateName, OrderName, PlacementName, Policy, QueueLimits
 
 Name = Annotated[str, StringConstraints(pattern=r"^[A-Za-z0-9][A-Za-z0-9 ._-]{0,79}$")]
 MAX_FILE_BYTES = 1_000_000
-MAX_GANG = 64
-MAX_ANSWER_BYTES = 16_384
+MAX_GANG_MEMBERS = 64
+MAX_PAYLOAD_LENGTH = 16_384
 
 
 class Model(BaseModel):
-    """Base of every part of the file: unknown fields are refused, values are frozen."""
+    """Base of all models: unknown fields are rejected and instances are immutable."""
 
     model_config = ConfigDict(extra="forbid", frozen=True, strict=False)
 
 
 class WorkersModel(Model):
-    """Like workers of one rack; the names are `prefix` and a number from 1."""
+    """A group of identical workers in a rack, named `prefix` followed by a number from 1."""
 
     prefix: Name
     count: int = Field(ge=1, le=512)
@@ -55,14 +55,14 @@
 
 
 class CellModel(Model):
-    """Failure domains whose workers have one decider."""
+    """Failure domains whose workers are scheduled together, by one owner."""
 
     name: Name
     domains: tuple[Name, ...] = Field(min_length=1)
 
 
 class TopologyModel(Model):
-    """All regions, and the cells that cover their failure domains."""
+    """All regions, and the cells into which their failure domains are divided."""
 
     regions: tuple[RegionModel, ...] = Field(min_length=1)
     cells: tuple[CellModel, ...] = Field(min_length=1)
@@ -71,7 +71,7 @@
 class ShapeModel(Model):
     """A gang: `members` tasks, each with accelerators or with executor slots."""
 
-    members: int = Field(default=1, ge=1, le=MAX_GANG)
+    members: int = Field(default=1, ge=1, le=MAX_GANG_MEMBERS)
     accelerators: int = Field(default=0, ge=0, le=16)
     slots: int = Field(default=0, ge=0, le=64)
     cores: int = Field(default=0, ge=0)
@@ -88,7 +88,7 @@
 
 
 class TeamModel(Model):
-    """A team of a customer; `quota` bounds the units that it holds at a time."""
+    """A team of a customer; `quota` limits the units that it holds at a time."""
 
     name: Name
     quota: int | None = Field(default=None, ge=1)
@@ -105,7 +105,7 @@
 
 
 class ClassModel(Model):
-    """A kind of work; a larger weight runs earlier, urgent work before everything."""
+    """A job class; jobs of a larger weight run earlier, urgent ones before all others."""
 
     name: Name
     weight: float = Field(default=1.0, gt=0)
@@ -113,7 +113,7 @@
 
 
 class JobModel(Model):
-    """`count` like jobs of an event; lengths and the deadline are seconds."""
+    """`count` identical jobs of an event; run times and the deadline are in seconds."""
 
     name: Name
     count: int = Field(default=1, ge=1, le=100_000)
@@ -126,11 +126,11 @@
     expected_s: float = Field(gt=0)
     p95_s: float = Field(gt=0)
     deadline_s: float | None = Field(default=None, gt=0)
-    payload: str = Field(default="", max_length=MAX_ANSWER_BYTES)
+    payload: str = Field(default="", max_length=MAX_PAYLOAD_LENGTH)
 
     @field_validator("p95_s")
     @classmethod
-    def _not_below_mean(cls, value: float, info: object) -> float:
+    def _check_p95(cls, value: float, info: object) -> float:
         expected = getattr(info, "data", {}).get("expected_s")
         if expected is not None and value < expected:
             raise ValueError(f"p95_s is below expected_s ({expected:g})")
@@ -138,7 +138,7 @@
 
 
 class EventModel(Model):
-    """A fixed start and the jobs that it releases."""
+    """Jobs that are released together at a fixed start time."""
 
     name: Name
     start: datetime
@@ -147,14 +147,14 @@
 
     @field_validator("start")
     @classmethod
-    def _local(cls, value: datetime) -> datetime:
+    def _check_local_time(cls, value: datetime) -> datetime:
         if value.tzinfo is not None:
             raise ValueError("start is local time; name the zone in time_zone instead")
         return value
 
     @field_validator("time_zone")
     @classmethod
-    def _known_zone(cls, value: str) -> str:
+    def _check_time_zone(cls, value: str) -> str:
         try:
             ZoneInfo(value)
         except (ZoneInfoNotFoundError, ValueError) as error:
@@ -167,7 +167,7 @@
 
 
 class PolicyModel(Model):
-    """Weights and bounds of the decisions; see `heronthread_scheduling.policy`."""
+    """Weights and limits of the scheduler; see `heronthread_scheduling.policy`."""
 
     placement: PlacementName = PlacementName.LEAST_LOSS
     order: OrderName = OrderName.COMPLETION
@@ -183,14 +183,14 @@
     max_waiting_per_class: int = Field(default=10_000, ge=1)
 
     def to_policy(self) -> Policy:
-        """Return the policy that the decisions use."""
+        """Return the policy for the scheduler."""
         fields = self.model_dump(exclude={"max_waiting_per_customer", "max_waiting_per_class"})
-        limits = Limits(self.max_waiting_per_customer, self.max_waiting_per_class)
+        limits = QueueLimits(self.max_waiting_per_customer, self.max_waiting_per_class)
         return Policy(limits=limits, **fields)
 
 
 class DesiredState(Model):
-    """The whole desired state of one deployment."""
+    """The desired state of one deployment."""
 
     version: Literal[1]
     deployment: Name
--- a/packages/heronthread-scheduling/src/heronthread_scheduling/guarantee.py
+++ b/packages/heronthread-scheduling/src/heronthread_scheduling/guarantee.py
@@ -1,9 +1,9 @@
-"""Guarantee blocks: the capacity that each customer can always get back.
+"""Guarantee blocks: capacity that a customer can reclaim at any time.
 
-A block is one guaranteed shape laid on concrete workers. It may move while no gang of its
-customer runs in it. Others may use its units as long as they can be taken back; so the
-whole unused guarantee of every customer can be reclaimed at once, at its adjacency level.
-Compare the published HiveD design (OSDI 2020), which binds cells of a static hierarchy.
+A block is one guaranteed shape placed on concrete workers. It may move while no gang of its
+customer runs in it. Gangs of other customers may use its units only if they are reclaimable,
+so all unused guarantees can be reclaimed at the same time, each at its adjacency level.
+HiveD (OSDI 2020) is a similar design that binds cells of a static hierarchy.
 """
 
 from __future__ import annotations
@@ -13,10 +13,10 @@
 
 from .capacity import PoolCapacity
 from .job import Gang, Job, Places, Shape
-from .placement import find_block_places, spread
+from .placement import find_block_places, place_members
 
-ENTITLED_PART = 2
-"""A gang is of a guaranteed size if it holds at least 1/ENTITLED_PART of the block."""
+GUARANTEED_SIZE_DIVISOR = 2
+"""A gang of at least 1/GUARANTEED_SIZE_DIVISOR of a block's units has priority for it."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -30,10 +30,11 @@
 
 @dataclass(slots=True)
 class Block:
-    """One guaranteed shape on its workers.
+    """One guaranteed shape and its places.
 
-    `places` is empty if no workers could back it even if all were live. `is_backed` is
-    false while any of its workers is lost.
+    `bound` maps the ids of the customer's gangs in the block to their places. `places` is
+    empty if the block fits nowhere even with all workers live. `is_backed` is false while
+    any of its workers is lost.
     """
 
     id: str
@@ -43,32 +44,32 @@
     bound: dict[str, Places] = field(default_factory=dict)
     is_backed: bool = False
 
-    def room(self, worker: int) -> int:
-        """Return the units of the block on `worker` that its own gangs leave."""
+    def unused_units(self, worker: int) -> int:
+        """Return the units of the block on `worker` that its bound gangs do not use."""
         return self.places.get(worker, 0) - sum(b.get(worker, 0) for b in self.bound.values())
 
 
 @dataclass(frozen=True, slots=True)
-class Claimable:
-    """Places that a job may take back in `block`, which first goes to `moved` unless None."""
+class ReclaimOption:
+    """Places that a job may reclaim in `block`, after the block moves to `moved` unless None."""
 
     block: Block
     places: Places
     moved: Places | None
 
 
-class Blocks:
-    """The guarantee blocks of one pool of one cell, and the only code that moves them."""
+class GuaranteeBlocks:
+    """The guarantee blocks of one pool of one cell; only this class moves them."""
 
     def __init__(self, capacity: PoolCapacity, guarantees: Iterable[Guarantee]) -> None:
         self.capacity = capacity
         self.by_id: dict[str, Block] = {}
         self.by_customer: dict[str, list[Block]] = {}
-        self.is_dirty = False
+        self.needs_placement = False
         for guarantee in guarantees:
             for number in range(guarantee.count):
                 self._add(guarantee, number)
-        self.back_all()
+        self.place_unbacked()
 
     def _add(self, guarantee: Guarantee, number: int) -> None:
         blocks = self.by_customer.setdefault(guarantee.customer, [])
@@ -78,151 +79,154 @@
         self.by_id[block.id] = block
 
     def unbacked(self) -> list[Block]:
-        """Return the blocks that live workers don't back, strictest and largest first."""
+        """Return the blocks without live workers for all units, strictest and largest first."""
         missing = [block for block in self.by_id.values() if not block.is_backed]
         return sorted(missing, key=_packing_key)
 
-    def back_all(self) -> None:
-        """Lay out every block on live workers, as far as capacity allows.
+    def place_unbacked(self) -> None:
+        """Place every unbacked block on live workers, as far as capacity allows.
 
-        If that fails, all blocks without gangs are laid out anew together. What still
-        finds no place keeps one that includes lost workers, so that it is repaired when
-        they return and nothing that can't be taken back is put in its way.
+        If some do not fit, all blocks without gangs are placed again together. A block
+        that still does not fit is placed on lost workers too: that keeps pinned gangs off
+        its units, and it is backed again when those workers return.
         """
-        self.is_dirty = False
+        self.needs_placement = False
         missing = self.unbacked()
         if not missing:
             return
         for block in missing:
-            self._lift(block)
-        if not self._lay(missing):
-            self._lay_anew()
+            self._unplace(block)
+        if not self._place_blocks(missing):
+            self._repack_unbound()
         for block in self.unbacked():
-            self._put(block, self._find(block, self._unreserved_if_live), is_backed=False)
+            self._place(
+                block, self._find_places(block, self._unreserved_if_all_live), is_backed=False
+            )
 
-    def _lay(self, blocks: list[Block]) -> bool:
-        """Lay blocks on live workers; tell whether all of them found a place."""
+    def _place_blocks(self, blocks: list[Block]) -> bool:
+        """Place blocks on live workers; return whether all of them fit."""
         found = True
         for block in blocks:
-            places = self._find(block, self.capacity.unreserved)
-            self._put(block, places, is_backed=places is not None)
+            places = self._find_places(block, self.capacity.unreserved)
+            self._place(block, places, is_backed=places is not None)
             found = found and places is not None
         return found
 
-    def _lay_anew(self) -> None:
-        """Lay all unbound blocks anew, and keep that if more units are backed than before."""
-        loose = sorted((b for b in self.by_id.values() if not b.bound), key=_packing_key)
-        before = [(block, dict(block.places), block.is_backed) for block in loose]
-        backed = sum(block.shape.total for block in loose if block.is_backed)
-        for block in loose:
-            self._lift(block)
-        self._lay(loose)
-        if sum(block.shape.total for block in loose if block.is_backed) > backed:
+    def _repack_unbound(self) -> None:
+        """Place all unbound blocks again; undo it unless more units are backed than before."""
+        unbound = sorted((b for b in self.by_id.values() if not b.bound), key=_packing_key)
+        before = [(block, dict(block.places), block.is_backed) for block in unbound]
+        backed = sum(block.shape.total for block in unbound if block.is_backed)
+        for block in unbound:
+            self._unplace(block)
+        self._place_blocks(unbound)
+        if sum(block.shape.total for block in unbound if block.is_backed) > backed:
             return
-        for block in loose:
-            self._lift(block)
+        for block in unbound:
+            self._unplace(block)
         for block, places, is_backed in before:
-            self._put(block, places or None, is_backed=is_backed)
+            self._place(block, places or None, is_backed=is_backed)
 
-    def _find(self, block: Block, value: Callable[[int], int]) -> Places | None:
-        return find_block_places(block.shape, self.capacity.topology, value)
+    def _find_places(self, block: Block, units_on: Callable[[int], int]) -> Places | None:
+        return find_block_places(block.shape, self.capacity.topology, units_on)
 
-    def _unreserved_if_live(self, worker: int) -> int:
+    def _unreserved_if_all_live(self, worker: int) -> int:
         capacity = self.capacity
         units = capacity.total[worker] - capacity.reserved[worker] - capacity.pinned[worker]
         return max(0, units)
 
-    def _put(self, block: Block, places: Places | None, *, is_backed: bool) -> None:
+    def _place(self, block: Block, places: Places | None, *, is_backed: bool) -> None:
         block.places = places or {}
         block.is_backed = is_backed
         self.capacity.reserve(block.places)
 
-    def _lift(self, block: Block) -> None:
+    def _unplace(self, block: Block) -> None:
         self.capacity.unreserve(block.places)
         block.places = {}
         block.is_backed = False
 
-    def find_room(self, job: Job) -> tuple[Block, Places, Places | None] | None:
-        """Find where `job` fits in a block of its customer without taking anything back.
+    def find_free_block(self, job: Job) -> tuple[Block, Places, Places | None] | None:
+        """Find a block of the customer where `job` fits without reclaiming anything.
 
         Returns the block, the gang's places, and the block's new places if it must move.
         """
-        for block in self._matching(job.shape, job.customer):
-            places = self._free_places(block, job.shape)
+        for block in self._matching_blocks(job.shape, job.customer):
+            places = self._find_free_places(block, job.shape)
             if places is not None:
                 return block, places, None
-        for block in self._matching(job.shape, job.customer):
+        for block in self._matching_blocks(job.shape, job.customer):
             if block.bound:
                 continue
-            moved = self._free_position(block)
+            moved = self._find_free_position(block)
             if moved is None:
                 continue
-            places = spread(job.shape, moved, lambda w, m=moved: m[w], tight=True)  # type: ignore[misc]
+            places = place_members(job.shape, moved, lambda w, m=moved: m[w], tight=True)  # type: ignore[misc]
             if places is not None:
                 return block, places, moved
         return None
 
-    def entitles(self, customer: str, shape: Shape) -> bool:
-        """Tell whether a gang of `shape` is of a size guaranteed to the customer.
+    def is_guaranteed_size(self, customer: str, shape: Shape) -> bool:
+        """Return whether `shape` fits a block of the customer and is not much smaller.
 
-        A much smaller gang may use a block too, but does not go ahead of others for it.
+        Much smaller gangs may use a block too, but have no priority over other jobs.
         """
         return any(
-            shape.fits_inside(block.shape) and ENTITLED_PART * shape.total >= block.shape.total
+            shape.fits_inside(block.shape)
+            and GUARANTEED_SIZE_DIVISOR * shape.total >= block.shape.total
             for block in self.by_customer.get(customer, ())
         )
 
-    def claimable(self, job: Job, cost: Callable[[int], float]) -> Iterator[Claimable]:
-        """Yield the places in the customer's blocks that `job` may take back.
+    def reclaim_options(self, job: Job, cost: Callable[[int], float]) -> Iterator[ReclaimOption]:
+        """Yield the places in the customer's blocks that `job` may reclaim.
 
-        A block without gangs may move for that; its members then go to the workers with
-        the least `cost` first, in each unit of its level.
+        A block without gangs may move first, in each unit of its level to the workers
+        with the lowest `cost`.
         """
-        for block in self._matching(job.shape, job.customer):
-            places = spread(job.shape, block.places, block.room, tight=True)
+        for block in self._matching_blocks(job.shape, job.customer):
+            places = place_members(job.shape, block.places, block.unused_units, tight=True)
             if places is not None:
-                yield Claimable(block, places, None)
+                yield ReclaimOption(block, places, None)
             if not block.bound:
-                yield from self._moved_claims(block, job, cost)
+                yield from self._moved_options(block, job, cost)
 
-    def _moved_claims(
+    def _moved_options(
         self, block: Block, job: Job, cost: Callable[[int], float]
-    ) -> Iterator[Claimable]:
-        def value(worker: int) -> int:
+    ) -> Iterator[ReclaimOption]:
+        def usable_units(worker: int) -> int:
             return self.capacity.unreserved(worker) + block.places.get(worker, 0)
 
         for workers in self.capacity.topology.workers_in[block.shape.adjacency]:
             cheapest = sorted(workers, key=lambda worker: (cost(worker), worker))
-            moved = spread(block.shape, cheapest, value, tight=False)
+            moved = place_members(block.shape, cheapest, usable_units, tight=False)
             if moved is None:
                 continue
-            places = spread(job.shape, moved, lambda w, m=moved: m[w], tight=False)  # type: ignore[misc]
+            places = place_members(job.shape, moved, lambda w, m=moved: m[w], tight=False)  # type: ignore[misc]
             if places is not None:
-                yield Claimable(block, places, moved)
+                yield ReclaimOption(block, places, moved)
 
     def move(self, block: Block, places: Places) -> None:
-        """Lay an unbound block on other workers."""
-        self._lift(block)
-        self._put(block, places, is_backed=True)
+        """Place an unbound block on other workers."""
+        self._unplace(block)
+        self._place(block, places, is_backed=True)
 
-    def lift_unbound(self) -> None:
-        """Take every block without gangs off its workers, to be laid out again."""
+    def unplace_unbound(self) -> None:
+        """Remove every unbound block from its workers, to be placed again."""
         for block in self.by_id.values():
             if not block.bound:
-                self._lift(block)
+                self._unplace(block)
 
-    def bind_around(self, gang: Gang) -> str | None:
-        """Lay a free block of the gang's customer around its places; return the block's id."""
+    def bind_running(self, gang: Gang) -> str | None:
+        """Place an unplaced block of the customer over the gang's places; return its id."""
         for block in self.by_customer.get(gang.job.customer, ()):
             if block.places or block.bound or not gang.job.shape.fits_inside(block.shape):
                 continue
-            places = self._extend(block.shape, gang.places)
+            places = self._extend_to_block(block.shape, gang.places)
             if places is not None:
-                self._put(block, places, is_backed=True)
+                self._place(block, places, is_backed=True)
                 return block.id
         return None
 
-    def _extend(self, shape: Shape, places: Places) -> Places | None:
+    def _extend_to_block(self, shape: Shape, places: Places) -> Places | None:
         """Return places of a whole block of `shape` that cover `places`."""
         size = shape.units
         covered = {worker: -(-units // size) * size for worker, units in places.items()}
@@ -238,23 +242,23 @@
             return covered
         rest = replace(shape, members=missing)
         workers = capacity.topology.workers_in[shape.adjacency][units.pop()]
-        more = spread(
+        more = place_members(
             rest, workers, lambda w: capacity.unreserved(w) - covered.get(w, 0), tight=True
         )
         if more is None:
             return None
         return {w: covered.get(w, 0) + more.get(w, 0) for w in {**covered, **more}}
 
-    def release_worker(self, worker: int, gangs: dict[str, Gang]) -> None:
-        """Take apart the blocks that touch a lost worker, to be laid out again.
+    def unplace_blocks_on(self, worker: int, gangs: dict[str, Gang]) -> None:
+        """Remove the blocks on a lost worker from their workers, to be placed again.
 
-        Gangs that still run in such a block stay where they are, outside any block.
+        Gangs that still run in such a block keep their places, outside of any block.
         """
-        self.is_dirty = True
+        self.needs_placement = True
         for block in self.by_id.values():
             if worker not in block.places:
                 continue
-            self._lift(block)
+            self._unplace(block)
             for gang_id, places in block.bound.items():
                 gang = gangs[gang_id]
                 gang.block = None
@@ -262,27 +266,27 @@
                     self.capacity.pin(places)
             block.bound = {}
 
-    def _matching(self, shape: Shape, customer: str) -> list[Block]:
+    def _matching_blocks(self, shape: Shape, customer: str) -> list[Block]:
         blocks = self.by_customer.get(customer, ())
         fitting = [b for b in blocks if b.is_backed and shape.fits_inside(b.shape)]
         return sorted(fitting, key=lambda b: (not b.bound, b.shape.total, b.id))
 
-    def _free_places(self, block: Block, shape: Shape) -> Places | None:
-        def value(worker: int) -> int:
-            return min(block.room(worker), self.capacity.free_units(worker))
+    def _find_free_places(self, block: Block, shape: Shape) -> Places | None:
+        def usable_units(worker: int) -> int:
+            return min(block.unused_units(worker), self.capacity.free_units(worker))
 
-        return spread(shape, block.places, value, tight=True)
+        return place_members(shape, block.places, usable_units, tight=True)
 
-    def _free_position(self, block: Block) -> Places | None:
+    def _find_free_position(self, block: Block) -> Places | None:
         """Find another place for an unbound block where all its units are free."""
         capacity = self.capacity
 
-        def value(worker: int) -> int:
+        def usable_units(worker: int) -> int:
             own = block.places.get(worker, 0)
             spare = capacity.unreserved(worker) + own
             return min(capacity.free_units(worker), spare)
 
-        return find_block_places(block.shape, capacity.topology, value)
+        return find_block_places(block.shape, capacity.topology, usable_units)
 
 
 def _packing_key(block: Block) -> tuple[int, int, int, str]:
@@ -290,8 +294,8 @@
     return (int(shape.adjacency), -shape.units, -shape.total, block.id)
 
 
-def find_unbackable(
+def find_unbacked_blocks(
     make_capacity: Callable[[], PoolCapacity], guarantees: list[Guarantee]
 ) -> list[Block]:
-    """Return the blocks that the declared topology can't back, for the check of a file."""
-    return Blocks(make_capacity(), guarantees).unbacked()
+    """Return the blocks that do not fit on the declared workers."""
+    return GuaranteeBlocks(make_capacity(), guarantees).unbacked()
--- a/packages/heronthread-scheduling/src/heronthread_scheduling/reservation.py
+++ b/packages/heronthread-scheduling/src/heronthread_scheduling/hold.py
@@ -1,4 +1,7 @@
-"""The reservation that keeps a large gang from being starved by small jobs."""
+"""Workers held for a large gang, so that small jobs do not starve it.
+
+In the literature on backfill scheduling a hold is called a reservation.
+"""
 
 from __future__ import annotations
 
@@ -13,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Hold:
-    """Workers kept for `job_id`, expected to be free enough at time `at` (seconds)."""
+    """A unit held for `job_id`, which is expected to fit there at time `at` (seconds)."""
 
     job_id: str
     level: Level
@@ -29,10 +32,10 @@
     *,
     use_p95: bool,
 ) -> Hold | None:
-    """Choose the unit where `job` can start earliest if nothing new is placed there.
+    """Return a hold on the unit where `job` can start earliest if nothing new is placed there.
 
-    It is chosen anew at each pass: keeping the first unit left others idle when their
-    gangs ended sooner than expected. Returns None if no unit could ever host the job.
+    Choose again at each pass, as gangs may end earlier than expected. Returns None if the
+    job fits in no unit.
     """
     level = job.shape.adjacency
     topology = capacity.topology
@@ -52,7 +55,7 @@
     now: float,
     use_p95: bool,
 ) -> float | None:
-    """Return when enough members fit on `workers`, by the ends of the gangs there."""
+    """Return when the job fits on `workers`, given the expected ends of the gangs there."""
     size = job.shape.units
     free = {worker: _available(job, capacity, worker) for worker in workers}
     members = sum(units // size for units in free.values())
--- a/packages/heronthread-scheduling/src/heronthread_scheduling/job.py
+++ b/packages/heronthread-scheduling/src/heronthread_scheduling/job.py
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Shape:
-    """A gang's need: `members` tasks, each holding `units` of `pool` on one worker."""
+    """Size of a gang: `members` tasks, each holding `units` of `pool` on one worker."""
 
     members: int
     units: int
@@ -27,7 +27,7 @@
         return self.members * self.units
 
     def fits_inside(self, other: Shape) -> bool:
-        """Tell whether a gang of this shape could run in a block of shape `other`."""
+        """Return whether a gang of this shape could run in a block of shape `other`."""
         if self.pool is not other.pool or self.total > other.total:
             return False
         members_per_member = other.units // self.units
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True)
 class JobClass:
-    """How work of one kind is ordered; `weight` is relative, larger runs earlier."""
+    """Priority of a kind of job: a larger relative `weight` runs earlier, urgent ones first."""
 
     name: str
     weight: float = 1.0
@@ -50,10 +50,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Job:
-    """One request for a gang; lengths and times are seconds.
+    """A request to run one gang; durations and times are in seconds.
 
-    `expected_s` and `p95_s` are the mean and the 95th percentile of the run length.
-    `deadline` is the latest useful completion on the scheduler's clock.
+    `expected_s` and `p95_s` are the mean and the 95th percentile of the run time.
+    `deadline` is the latest useful completion time, on the scheduler's clock.
     """
 
     id: str
@@ -70,21 +70,22 @@
 
     @property
     def reclaimable(self) -> bool:
-        """Whether the job may be stopped and resumed or run again."""
+        """Whether the job can be stopped and then resumed or run again."""
         return self.repeatable or self.checkpointable
 
     @property
-    def area(self) -> float:
-        """Expected unit-seconds."""
+    def unit_seconds(self) -> float:
+        """Expected unit-seconds of the whole run."""
         return self.shape.total * self.expected_s
 
 
 @dataclass(slots=True)
 class Gang:
-    """A job holding capacity.
+    """A job that holds capacity.
 
     `block` is the id of the guarantee block that it runs in, or None. `waiting_for` holds
-    the ids of gangs that must stop before it can start.
+    the ids of the gangs that must stop before it can start. `leaving` is set once the gang
+    is being stopped.
     """
 
     job: Job
@@ -96,15 +97,15 @@
 
     @property
     def pinned(self) -> bool:
-        """Whether it can't be taken back: it runs in its guarantee, or can't be stopped."""
+        """Whether the gang can't be reclaimed: it runs in its guarantee or is not reclaimable."""
         return self.block is not None or not self.job.reclaimable
 
     def end(self, *, use_p95: bool = True) -> float:
-        """Return when the gang is expected to end, seconds on the scheduler's clock."""
+        """Return when the gang is expected to end, in seconds on the scheduler's clock."""
         return self.start + (self.job.p95_s if use_p95 else self.job.expected_s)
 
     def lost_work(self, now: float) -> float:
-        """Return the unit-seconds lost if the gang is taken back at `now`."""
+        """Return the unit-seconds of work lost if the gang is stopped at `now`."""
         if self.waiting_for:
             return 0.0
         elapsed = max(0.0, now - self.start)
--- a/packages/heronthread-scheduling/src/heronthread_scheduling/starting.py
+++ b/packages/heronthread-scheduling/src/heronthread_scheduling/job_start.py
@@ -1,4 +1,4 @@
-"""The ways in which a waiting job can start, tried from the cheapest to the dearest."""
+"""Strategies to start a waiting job, tried from the cheapest to the most disruptive."""
 
 from __future__ import annotations
 
@@ -6,25 +6,25 @@
 
 from .cell_state import CellState, PoolState
 from .decision import Cause, Decision, Reason, Reclaim, Start
-from .guarantee import Block, Claimable
+from .guarantee import Block, ReclaimOption
 from .job import Gang, Job, Places
-from .placement import choose_places, spread
-from .queue import Entry
+from .placement import choose_places, place_members
+from .queue import QueueEntry
 from .reclaim import choose_victims
 
 
 def failure_key(cell: CellState, job: Job) -> object:
-    """Jobs with equal keys fail alike in one pass; guarantees make customers differ."""
+    """Return a key; jobs with equal keys fail for the same reason within a pass."""
     state = cell.pools[job.shape.pool]
     owner = job.customer if job.customer in state.blocks.by_customer else ""
     team = job.team if job.team in cell.quotas else ""
     urgent = job.job_class.urgent
-    backfills = _may_backfill(state, job, 0.0, cell) if state.hold else False
+    backfills = _can_backfill(state, job, 0.0, cell) if state.hold else False
     return (job.shape, job.reclaimable, owner, team, urgent, backfills, cell.is_large(job))
 
 
-def try_start(cell: CellState, entry: Entry, now: float) -> list[Decision] | Reason:
-    """Start a job if anything allows it; else return why it must wait."""
+def try_start(cell: CellState, entry: QueueEntry, now: float) -> list[Decision] | Reason:
+    """Start a job by the first strategy that works, else return why it must wait."""
     job = entry.job
     state = cell.pools[job.shape.pool]
     if _over_quota(cell, job):
@@ -35,26 +35,26 @@
     )
     if found is not None:
         return found
-    claimed = _claim_guarantee(cell, state, job, now)
-    if claimed is None and job.job_class.urgent:
-        claimed = _claim_urgent(cell, state, job, now)
-    if claimed is None and state.hold is not None and state.hold.job_id == job.id:
-        claimed = _compact(cell, state, job, now)
-    return claimed if claimed is not None else _why_waiting(state, job)
+    reclaimed = _reclaim_guarantee(cell, state, job, now)
+    if reclaimed is None and job.job_class.urgent:
+        reclaimed = _reclaim_for_urgent(cell, state, job, now)
+    if reclaimed is None and state.hold is not None and state.hold.job_id == job.id:
+        reclaimed = _compact(cell, state, job, now)
+    return reclaimed if reclaimed is not None else _waiting_reason(state, job)
 
 
-def start_entitled(cell: CellState, job: Job, now: float) -> list[Decision]:
-    """Start a job of a guaranteed size in its guarantee, taking it back if need be.
+def start_guaranteed(cell: CellState, job: Job, now: float) -> list[Decision]:
+    """Start a job of a guaranteed size in its guarantee, reclaiming it if needed.
 
-    These go before all others in a pass, so that nothing is placed on a guarantee and
-    taken back at the same moment.
+    These jobs come first in a pass, so that no gang is placed in a guarantee and reclaimed
+    within the same pass.
     """
     state = cell.pools[job.shape.pool]
     if _over_quota(cell, job):
         return []
     found = _start_in_guarantee(cell, state, job, now)
     if found is None:
-        found = _claim_guarantee(cell, state, job, now)
+        found = _reclaim_guarantee(cell, state, job, now)
     return found or []
 
 
@@ -64,7 +64,7 @@
 
 
 def occupy(cell: CellState, gang: Gang) -> None:
-    """Record that a gang holds its places."""
+    """Record the gang and count its units as used."""
     job = gang.job
     state = cell.pools[job.shape.pool]
     cell.gangs[job.id] = gang
@@ -88,7 +88,7 @@
     if gang.block is not None:
         state.blocks.by_id[gang.block].bound.pop(job.id, None)
     if gang.pinned and state.blocks.unbacked():
-        state.blocks.is_dirty = True
+        state.blocks.needs_placement = True
     cell.customer_use[job.customer] -= job.shape.total
     cell.team_use[job.team] -= job.shape.total
 
@@ -109,10 +109,10 @@
 def _start_in_guarantee(
     cell: CellState, state: PoolState, job: Job, now: float
 ) -> list[Decision] | None:
-    room = state.blocks.find_room(job)
-    if room is None:
+    found = state.blocks.find_free_block(job)
+    if found is None:
         return None
-    block, places, moved = room
+    block, places, moved = found
     if moved is not None:
         state.blocks.move(block, moved)
     reason = Reason(Cause.OWN_GUARANTEE, f"inside the guarantee {block.id}")
@@ -124,66 +124,66 @@
 ) -> list[Decision] | None:
     capacity = state.capacity
     if state.hold is not None and state.hold.job_id == job.id:
-        capacity.hold([])
-    index = capacity.free if job.reclaimable else capacity.open
+        capacity.exclude([])
+    index = capacity.free if job.reclaimable else capacity.free_unreserved
     places = choose_places(state.placement, job.shape, index, capacity)
     if places is not None:
         return _start(cell, job, places, now, None, Reason(Cause.FREE_PLACE, "a free place"))
     if state.hold is None:
         return None
     if state.hold.job_id == job.id:
-        capacity.hold(cell.topology.workers_in[state.hold.level][state.hold.unit])
+        capacity.exclude(cell.topology.workers_in[state.hold.level][state.hold.unit])
         return None
     return _backfill(cell, state, job, now)
 
 
-def _may_backfill(state: PoolState, job: Job, now: float, cell: CellState) -> bool:
+def _can_backfill(state: PoolState, job: Job, now: float, cell: CellState) -> bool:
     return state.hold is not None and now + cell.estimate(job) <= state.hold.at
 
 
 def _backfill(cell: CellState, state: PoolState, job: Job, now: float) -> list[Decision] | None:
-    """Use held workers for a job that ends before they are needed."""
+    """Start a job on held workers if it ends before the held gang can start."""
     hold = state.hold
-    if hold is None or not _may_backfill(state, job, now, cell):
+    if hold is None or not _can_backfill(state, job, now, cell):
         return None
     capacity = state.capacity
 
-    def value(worker: int) -> int:
+    def usable_units(worker: int) -> int:
         free = capacity.free_units(worker)
         return free if job.reclaimable else min(free, capacity.unreserved(worker))
 
-    held = cell.topology.workers_in[hold.level][hold.unit]
-    groups: Iterable[list[int]] = [[worker] for worker in held]
+    held_workers = cell.topology.workers_in[hold.level][hold.unit]
+    groups: Iterable[list[int]] = [[worker] for worker in held_workers]
     if job.shape.members > 1:
         if job.shape.adjacency < hold.level:
             return None
-        groups = [held]
+        groups = [held_workers]
     for group in groups:
-        places = spread(job.shape, group, value, tight=True)
+        places = place_members(job.shape, group, usable_units, tight=True)
         if places is not None:
             reason = Reason(Cause.BACKFILL, "ends before the held workers are needed")
             return _start(cell, job, places, now, None, reason)
     return None
 
 
-def _claim_guarantee(
+def _reclaim_guarantee(
     cell: CellState, state: PoolState, job: Job, now: float
 ) -> list[Decision] | None:
-    """Take back the customer's own guarantee where that loses least work."""
+    """Reclaim the block of the customer that loses the least work."""
 
     def cost(worker: int) -> float:
         gangs = cell.gangs_on(worker, state.capacity.pool)
-        return sum(g.lost_work(now) for g in gangs if _is_victim(g, now, spare_urgent=False))
+        return sum(g.lost_work(now) for g in gangs if _can_reclaim(g, now, spare_urgent=False))
 
     own = job.customer
 
     urgent = job.job_class.urgent
-    best: tuple[tuple[float, int], Claimable, list[Gang]] | None = None
-    for option in state.blocks.claimable(job, cost):
-        victims = _victims(cell, state, option.places, now, urgent, spare_urgent=False)
+    best: tuple[tuple[float, int], ReclaimOption, list[Gang]] | None = None
+    for option in state.blocks.reclaim_options(job, cost):
+        victims = _find_victims(cell, state, option.places, now, urgent, spare_urgent=False)
         if victims is None or any(victim.job.customer == own for victim in victims):
             continue
-        key = (_cost(victims, now), len(victims))
+        key = (_total_lost_work(victims, now), len(victims))
         if best is None or key < best[0]:
             best = (key, option, victims)
     if best is None:
@@ -192,40 +192,42 @@
     block = option.block
     if option.moved is not None:
         state.blocks.move(block, option.moved)
-    reason = Reason(Cause.TAKEN_BACK, f"takes back the guarantee {block.id}")
-    return _claim(cell, state, job, option.places, victims, now, block, reason)
+    reason = Reason(Cause.TAKEN_BACK, f"reclaims the guarantee {block.id}")
+    return _start_after_reclaim(cell, state, job, option.places, victims, now, block, reason)
 
 
-def _claim_urgent(cell: CellState, state: PoolState, job: Job, now: float) -> list[Decision] | None:
-    """Take back gangs that no guarantee protects, for urgent work."""
+def _reclaim_for_urgent(
+    cell: CellState, state: PoolState, job: Job, now: float
+) -> list[Decision] | None:
+    """Reclaim gangs outside of guarantees for an urgent job."""
     capacity = state.capacity
-    room = [0] * len(capacity.total)
-    for worker in range(len(room)):
+    usable = [0] * len(capacity.total)
+    for worker in range(len(usable)):
         reclaimable = sum(
             gang.places[worker]
             for gang in cell.gangs_on(worker, capacity.pool)
-            if _is_victim(gang, now, spare_urgent=True)
+            if _can_reclaim(gang, now, spare_urgent=True)
         )
-        leaving = _leaving_units(cell, state, worker)
-        units = max(0, capacity.capacity(worker) - capacity.used[worker] + reclaimable + leaving)
-        room[worker] = units if job.reclaimable else min(units, capacity.unreserved(worker))
+        stopping = _stopping_units(cell, state, worker)
+        units = max(0, capacity.capacity(worker) - capacity.used[worker] + reclaimable + stopping)
+        usable[worker] = units if job.reclaimable else min(units, capacity.unreserved(worker))
     options = []
     for unit, workers in enumerate(cell.topology.workers_in[job.shape.adjacency]):
-        places = spread(job.shape, workers, room, tight=True)
+        places = place_members(job.shape, workers, usable, tight=True)
         if places is None:
             continue
-        victims = _victims(cell, state, places, now, True, spare_urgent=True)
+        victims = _find_victims(cell, state, places, now, True, spare_urgent=True)
         if victims is not None:
-            options.append((_cost(victims, now), unit, places, victims))
+            options.append((_total_lost_work(victims, now), unit, places, victims))
     if not options:
         return None
     _, _, places, victims = min(options, key=lambda option: option[:2])
-    reason = Reason(Cause.URGENT, "urgent work takes back unprotected gangs")
-    return _claim(cell, state, job, places, victims, now, None, reason)
+    reason = Reason(Cause.URGENT, "urgent job reclaims gangs outside of guarantees")
+    return _start_after_reclaim(cell, state, job, places, victims, now, None, reason)
 
 
 def _compact(cell: CellState, state: PoolState, job: Job, now: float) -> list[Decision] | None:
-    """Move small checkpointable gangs away when that costs less than the wait it saves."""
+    """Reclaim small checkpointable gangs if that costs less than waiting for the hold."""
     hold = state.hold
     if hold is None or not cell.policy.compaction or hold.at <= now:
         return None
@@ -239,42 +241,44 @@
             if _is_movable(cell, gang, now)
         )
 
-    def value(worker: int) -> int:
+    def usable_units(worker: int) -> int:
         units = capacity.free_units(worker) + movable[worker]
         return units if job.reclaimable else min(units, capacity.unreserved(worker))
 
     by_free = sorted(workers, key=lambda worker: (-capacity.free_units(worker), worker))
-    places = spread(job.shape, by_free, value, tight=False)
+    places = place_members(job.shape, by_free, usable_units, tight=False)
     if places is None:
         return None
     shortage = _shortage(cell, state, places)
     movers = [gang for gang in _gangs_at(cell, state, places) if _is_movable(cell, gang, now)]
     victims = choose_victims(shortage, movers, now)
-    if not victims or not _have_room_elsewhere(state, victims):
+    if not victims or not _fit_elsewhere(state, victims):
         return None
     saved = (hold.at - now) * job.shape.total
-    spent = _cost(victims, now) + sum(v.job.checkpoint_s * v.job.shape.total for v in victims)
+    spent = _total_lost_work(victims, now) + sum(
+        v.job.checkpoint_s * v.job.shape.total for v in victims
+    )
     if spent >= saved:
         return None
     reason = Reason(Cause.COMPACTION, f"moving {len(victims)} gangs saves {hold.at - now:.0f} s")
-    return _claim(cell, state, job, places, victims, now, None, reason)
+    return _start_after_reclaim(cell, state, job, places, victims, now, None, reason)
 
 
 def _is_movable(cell: CellState, gang: Gang, now: float) -> bool:
     small = not cell.is_large(gang.job)
-    return gang.job.checkpointable and small and _is_victim(gang, now, spare_urgent=True)
+    return gang.job.checkpointable and small and _can_reclaim(gang, now, spare_urgent=True)
 
 
-def _have_room_elsewhere(state: PoolState, victims: list[Gang]) -> bool:
+def _fit_elsewhere(state: PoolState, victims: list[Gang]) -> bool:
     index = state.capacity.free
     needed = sum(victim.job.shape.total for victim in victims)
     cell_unit = 0
     largest = max(victim.job.shape.units for victim in victims)
-    members = sum(index.value)
-    return members >= needed and index.hosts[-1][cell_unit][largest] >= len(victims)
+    members = sum(index.available)
+    return members >= needed and index.member_counts[-1][cell_unit][largest] >= len(victims)
 
 
-def _claim(
+def _start_after_reclaim(
     cell: CellState,
     state: PoolState,
     job: Job,
@@ -284,7 +288,7 @@
     block: Block | None,
     reason: Reason,
 ) -> list[Decision]:
-    """Give the gang its places now; it starts when the victims have stopped."""
+    """Assign the places now; the gang starts when the victims have stopped."""
     pending = {victim.job.id for victim in victims}
     pending |= {g.job.id for g in _gangs_at(cell, state, places) if g.leaving}
     started = _start(cell, job, places, now, block, reason)
@@ -295,11 +299,11 @@
     for victim in victims:
         victim.leaving = True
     urgent = job.job_class.urgent
-    within = cell.policy.urgent_stop_s if urgent else cell.policy.reclaim_stop_s
-    return [Reclaim(tuple(victims), job, reason, within)]
+    stop_within_s = cell.policy.urgent_stop_s if urgent else cell.policy.reclaim_stop_s
+    return [Reclaim(tuple(victims), job, reason, stop_within_s)]
 
 
-def _victims(
+def _find_victims(
     cell: CellState,
     state: PoolState,
     places: Places,
@@ -309,22 +313,22 @@
     spare_urgent: bool,
 ) -> list[Gang] | None:
     gangs = [
-        g for g in _gangs_at(cell, state, places) if _is_victim(g, now, spare_urgent=spare_urgent)
+        g for g in _gangs_at(cell, state, places) if _can_reclaim(g, now, spare_urgent=spare_urgent)
     ]
     return choose_victims(_shortage(cell, state, places), gangs, now, prefer_immediate=urgent)
 
 
 def _shortage(cell: CellState, state: PoolState, places: Places) -> Places:
-    """Units missing on each worker, counting those that leaving gangs will free."""
+    """Return the units missing on each worker once the stopping gangs have released theirs."""
     capacity = state.capacity
     missing: Places = {}
     for worker, units in places.items():
         free = capacity.capacity(worker) - capacity.used[worker]
-        missing[worker] = units - free - _leaving_units(cell, state, worker)
+        missing[worker] = units - free - _stopping_units(cell, state, worker)
     return missing
 
 
-def _leaving_units(cell: CellState, state: PoolState, worker: int) -> int:
+def _stopping_units(cell: CellState, state: PoolState, worker: int) -> int:
     gangs = cell.gangs_on(worker, state.capacity.pool)
     return sum(gang.places[worker] for gang in gangs if gang.leaving)
 
@@ -337,23 +341,23 @@
     return [found[job_id] for job_id in sorted(found)]
 
 
-def _is_victim(gang: Gang, now: float, *, spare_urgent: bool) -> bool:
-    """Tell whether a gang may be taken back; one that starts at this moment may not."""
+def _can_reclaim(gang: Gang, now: float, *, spare_urgent: bool) -> bool:
+    """Return whether a gang may be reclaimed; one that started at `now` may not."""
     if gang.pinned or gang.leaving or gang.waiting_for or gang.start >= now:
         return False
     return not (spare_urgent and gang.job.job_class.urgent)
 
 
-def _cost(victims: list[Gang], now: float) -> float:
+def _total_lost_work(victims: list[Gang], now: float) -> float:
     return sum(victim.lost_work(now) for victim in victims)
 
 
-def _why_waiting(state: PoolState, job: Job) -> Reason:
+def _waiting_reason(state: PoolState, job: Job) -> Reason:
     if not job.reclaimable and any(
         state.capacity.free.fits(job.shape, job.shape.adjacency, unit)
         for unit in range(len(state.capacity.topology.workers_in[job.shape.adjacency]))
     ):
-        text = "the free places are guaranteed to others and this job could not be taken back"
+        text = "the free places are guaranteed to others and this job is not reclaimable"
         return Reason(Cause.GUARANTEED_TO_OTHERS, text)
     if state.hold is not None and state.hold.job_id != job.id:
         return Reason(Cause.HELD, f"free workers are held for {state.hold.job_id}")
--- a/packages/heronthread-scheduling/src/heronthread_scheduling/plan.py
+++ b/packages/heronthread-scheduling/src/heronthread_scheduling/plan.py
@@ -1,4 +1,4 @@
-"""What an event would decide, computed by the same code as the daemon's decisions."""
+"""Dry run of an event with the scheduler that the daemon uses."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class SnapshotGang(Model):
-    """A running gang: its job, its places by worker, and how long it has run (seconds)."""
+    """A running gang: its job, its units by worker, and how long it has run (seconds)."""
 
     id: str
     job: JobModel
@@ -24,7 +24,7 @@
 
 
 class Snapshot(Model):
-    """The workers as they are: those lost, and the gangs that run."""
+    """Current state of the workers: the lost ones and the running gangs."""
 
     lost: tuple[Name, ...] = ()
     gangs: tuple[SnapshotGang, ...] = ()
@@ -32,9 +32,9 @@
 
 @dataclass(frozen=True, slots=True)
 class PlannedJob:
-    """What happens to one job at the event's start.
+    """Planned outcome of one job at the event's start.
 
-    `order` counts starts and claims from 1; 0 for jobs that wait or are not run.
+    `order` numbers starts and reclaims from 1; it is 0 for jobs that wait or are not run.
     `outcome` is "start", "reclaim", "wait" or "not-run".
     """
 
@@ -52,7 +52,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """The decisions of one event, in the order of the file."""
+    """Planned outcomes of the jobs of one event, in file order."""
 
     event: str
     jobs: list[PlannedJob] = field(default_factory=list)
@@ -61,7 +61,7 @@
 def plan_event(
     state: DesiredState, event: str | None = None, snapshot: Snapshot | None = None
 ) -> Plan | Refused:
-    """Return what the event would decide; the first event if none is named."""
+    """Return the plan of an event, by default of the first event in the file."""
     names = [e.name for e in state.events]
     if event is None and names:
         event = names[0]
@@ -129,13 +129,13 @@
             planned[item.job.id] = _entry(item, "not-run", 0, {}, decision.reason)
     for item in jobs:
         if item.job.id not in planned:
-            reason = scheduler.explain(item.job.id) or _behind(scheduler, item)
+            reason = scheduler.explain(item.job.id) or _similar_job_reason(scheduler, item)
             planned[item.job.id] = _entry(item, "wait", 0, {}, reason)
     return planned
 
 
-def _behind(scheduler: CellScheduler, item: EventJob) -> Reason:
-    """Return the reason of a like job, tried in place of this one."""
+def _similar_job_reason(scheduler: CellScheduler, item: EventJob) -> Reason:
+    """Return the reason of a similar job, as only one job of a bucket is tried in a pass."""
     for entry in scheduler.queue.entries.values():
         other = entry.job
         known = scheduler.explain(other.id)
--- a/packages/heronthread-scheduling/src/heronthread_scheduling/policy.py
+++ b/packages/heronthread-scheduling/src/heronthread_scheduling/policy.py
@@ -1,4 +1,4 @@
-"""Named policies: how places are chosen and in which order jobs are tried."""
+"""Scheduling policies: placement, queue order and limits."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class PlacementName(StrEnum):
-    """The placement policies that a desired-state file may name."""
+    """Placement policies available in a desired-state file."""
 
     FIRST_FIT = "first-fit"
     BEST_FIT = "best-fit"
@@ -15,10 +15,10 @@
 
 
 class OrderName(StrEnum):
-    """The order policies that a desired-state file may name.
+    """Queue orders available in a desired-state file.
 
-    With `ARRIVAL` a job that does not fit keeps all later ones of its pool waiting; with
-    `ARRIVAL_SKIPPING` those that fit go ahead of it.
+    With `ARRIVAL` a job that does not fit blocks all later jobs of its pool; with
+    `ARRIVAL_SKIPPING` later jobs that fit start before it.
     """
 
     ARRIVAL = "arrival"
@@ -27,15 +27,15 @@
 
 
 class EstimateName(StrEnum):
-    """The length estimate used to decide whether a job may run ahead of a held gang."""
+    """Run time estimate that decides whether a job may backfill held workers."""
 
     MEAN = "mean"
     P95 = "p95"
 
 
 @dataclass(frozen=True, slots=True)
-class Limits:
-    """Bounds of the waiting queue, in jobs."""
+class QueueLimits:
+    """Maximum number of waiting jobs."""
 
     per_customer: int = 20_000
     per_class: int = 10_000
@@ -43,15 +43,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Policy:
-    """Everything that the decisions depend on besides jobs and capacity.
-
-    `starvation_s` bounds how long a job waits before it goes ahead of every job that is
-    neither urgent nor overdue itself. `large_fraction` of the largest rack makes a gang
-    large. `critical_fraction` of the time that the whole backlog needs makes a job so
-    long that it starts first. The weights decide whether large gangs go after
-    the others (completion) or before them (fragmentation). `urgent_stop_s` and
-    `reclaim_stop_s` are the deadlines for a checkpoint before a gang that is taken back is
-    stopped.
+    """Settings of the scheduler.
+
+    After `starvation_s` of waiting a job is overdue and precedes all jobs that are neither
+    urgent nor overdue. A gang is large from `large_fraction` of the largest rack on. A job is
+    critical, and starts early, if it runs for at least `critical_fraction` of the time that
+    the whole backlog needs. Large gangs start before other jobs if `fragmentation_weight`
+    exceeds `completion_weight`, else after them. `urgent_stop_s` and `reclaim_stop_s` limit
+    the time for a checkpoint before a reclaimed gang is stopped.
     """
 
     name: str = "heronthread"
@@ -67,15 +66,15 @@
     critical_fraction: float = 0.8
     urgent_stop_s: float = 2.0
     reclaim_stop_s: float = 10.0
-    limits: Limits = field(default_factory=Limits)
+    limits: QueueLimits = field(default_factory=QueueLimits)
 
     @property
     def large_first(self) -> bool:
-        """Whether large gangs go before smaller jobs: if fragmentation weighs more."""
+        """Whether large gangs start before smaller jobs."""
         return self.fragmentation_weight > self.completion_weight
 
 
-DEFAULT = Policy()
+DEFAULT_POLICY = Policy()
 FIRST_FIT = Policy(
     name="first-fit",
     placement=PlacementName.FIRST_FIT,
@@ -85,9 +84,9 @@
 )
 FIRST_FIT_SKIPPING = replace(FIRST_FIT, name="first-fit-skipping", order=OrderName.ARRIVAL_SKIPPING)
 BEST_FIT = replace(FIRST_FIT_SKIPPING, name="best-fit", placement=PlacementName.BEST_FIT)
-MEAN_ESTIMATE = replace(DEFAULT, name="mean-only", estimate=EstimateName.MEAN)
+MEAN_ESTIMATE = replace(DEFAULT_POLICY, name="mean-only", estimate=EstimateName.MEAN)
 
 NAMED = {
     policy.name: policy
-    for policy in (DEFAULT, FIRST_FIT, FIRST_FIT_SKIPPING, BEST_FIT, MEAN_ESTIMATE)
+    for policy in (DEFAULT_POLICY, FIRST_FIT, FIRST_FIT_SKIPPING, BEST_FIT, MEAN_ESTIMATE)
 }
--- a/packages/heronthread-scheduling/src/heronthread_scheduling/problem.py
+++ b/packages/heronthread-scheduling/src/heronthread_scheduling/problem.py
@@ -1,4 +1,4 @@
-"""What is wrong with an input, where, and how to mend it."""
+"""Problems of invalid input, with their location and a suggested fix."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Problem:
-    """One fault of an input: its JSON path, what is wrong and how to mend it."""
+    """One problem of an input: its JSON path, a description and a suggested fix."""
 
     path: str
     what: str
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Refused:
-    """An input that is not taken over, with every problem found."""
+    """An input that was rejected, with every problem found."""
 
     problems: tuple[Problem, ...]
 
@@ -36,7 +36,7 @@
     return "$" + "".join(parts)
 
 
-_MENDS = {
+_FIXES = {
     "extra_forbidden": "remove the field or correct its name",
     "missing": "add the field",
     "json_invalid": "complete the JSON document",
@@ -44,7 +44,7 @@
 
 
 def problems_of(error: ValidationError) -> Refused:
-    """Turn a pydantic error into problems, one for each fault."""
+    """Convert a pydantic validation error into problems."""
     return Refused(tuple(_problem(detail) for detail in error.errors(include_url=False)))
 
 
@@ -53,5 +53,5 @@
     what = detail["msg"][:1].lower() + detail["msg"][1:]
     if kind == "extra_forbidden":
         what = "unknown field"
-    mend = _MENDS.get(kind, f"give a value that fits, not {str(detail['input'])[:60]!r}")
+    mend = _FIXES.get(kind, f"give a value that fits, not {str(detail['input'])[:60]!r}")
     return Problem(json_path(detail["loc"]), what, mend)
--- a/packages/heronthread-scheduling/src/heronthread_scheduling/reclaim.py
+++ b/packages/heronthread-scheduling/src/heronthread_scheduling/reclaim.py
@@ -1,4 +1,4 @@
-"""Which gangs are taken back for a claim."""
+"""Selection of the gangs to reclaim."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 def choose_victims(
     shortage: Places, gangs: Iterable[Gang], now: float, *, prefer_immediate: bool = False
 ) -> list[Gang] | None:
-    """Choose whole gangs that free `shortage` and lose little work.
+    """Choose whole gangs that cover `shortage` at a low cost in lost work.
 
-    Gangs are taken in the order of lost work per unit that helps, then those that turn
-    out not to be needed are given back, the costliest first. Returns None if the given
-    gangs can't cover the shortage. `prefer_immediate` puts gangs that need no checkpoint
-    before others, for claims that can't wait.
+    Greedy by lost work per unit of the shortage; then gangs that turn out not to be needed
+    are dropped, the costliest first. Returns None if the given gangs can't cover the
+    shortage. `prefer_immediate` prefers repeatable gangs, which need no checkpoint before
+    they stop.
     """
     missing = {worker: units for worker, units in shortage.items() if units > 0}
     candidates = [gang for gang in gangs if any(worker in missing for worker in gang.places)]
--- a/packages/heronthread-scheduling/src/heronthread_scheduling/topology.py
+++ b/packages/heronthread-scheduling/src/heronthread_scheduling/topology.py
@@ -1,4 +1,4 @@
-"""Workers and the nested units that contain them."""
+"""Workers of a cell and the racks and failure domains that contain them."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Level(IntEnum):
-    """How close together the members of a gang must be, from strictest to loosest."""
+    """Required adjacency of the members of a gang, from strictest to loosest."""
 
     WORKER = 0
     RACK = 1
@@ -17,7 +17,7 @@
 
 
 class Pool(StrEnum):
-    """The kind of unit that a member occupies on its worker."""
+    """Kind of unit that a member occupies on its worker."""
 
     ACCELERATORS = "accelerators"
     SLOTS = "slots"
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Worker:
-    """One machine that runs tasks; counts are whole accelerators and executor slots."""
+    """A machine that runs tasks, with its numbers of accelerators and executor slots."""
 
     name: str
     rack: str
@@ -41,11 +41,12 @@
 
 
 class Topology:
-    """The workers of one cell, numbered, with the units of each level numbered too.
+    """The numbered workers of one cell and the numbered units of each level.
 
-    `workers` is ordered by failure domain, rack and name, so that numbers are the same on
-    every host that reads the same file. `unit_of[level][worker]` and
-    `workers_in[level][unit]` map between the two numberings.
+    A unit is a worker, a rack, a failure domain or the whole cell. `workers` is sorted by
+    failure domain, rack and name, so that every host with the same file assigns the same
+    numbers. `unit_of[level][worker]` and `workers_in[level][unit]` map between workers and
+    units.
     """
 
     def __init__(self, workers: Iterable[Worker]) -> None:
--- a/packages/heronthread-scheduling/tests/test_guarantee.py
+++ b/packages/heronthread-scheduling/tests/test_guarantee.py
@@ -1,4 +1,4 @@
-"""Properties of guarantees, gangs and capacity over random histories."""
+"""Property-based tests of guarantees, gangs and capacity over random histories."""
 
 from __future__ import annotations
 
@@ -20,8 +20,8 @@
     Topology,
     Worker,
     find_violations,
+    job_start,
     placement,
-    starting,
 )
 from heronthread_scheduling.capacity import PoolCapacity
 from hypothesis import HealthCheck, given, settings
@@ -74,7 +74,7 @@
 
 
 def run_history(topology: Topology, guarantees: list[Guarantee], steps: list) -> list[str]:
-    """Play a history and return the violations that the audit finds after each step."""
+    """Run the steps and return the violations that the audit finds after each of them."""
     cell = CellScheduler(topology, guarantees)
     if cell.unbacked():
         return []
@@ -89,22 +89,22 @@
         elif step[0] == "finish" and cell.gangs:
             cell.finish(sorted(cell.gangs)[step[1] % len(cell.gangs)])
         elif step[0] == "lose":
-            lose(cell, step[1] % len(topology), now)
+            lose_worker(cell, step[1] % len(topology), now)
         elif step[0] == "return":
             cell.return_worker(topology.workers[step[1] % len(topology)].name)
-        settle(cell, now)
+        run_passes(cell, now)
         if not cell.unbacked():
             found += audit(cell, guarantees)
     return found
 
 
-def lose(cell: CellScheduler, worker: int, now: float) -> None:
+def lose_worker(cell: CellScheduler, worker: int, now: float) -> None:
     for gang in cell.lose_worker(cell.topology.workers[worker].name):
         cell.finish(gang.job.id)
 
 
-def settle(cell: CellScheduler, now: float) -> None:
-    """Decide until nothing more happens; gangs taken back stop at once."""
+def run_passes(cell: CellScheduler, now: float) -> None:
+    """Run passes until there are no more decisions; reclaimed gangs stop at once."""
     for round_number in range(5):
         decisions = cell.decide(now + round_number * 0.1)
         for decision in decisions:
@@ -117,13 +117,13 @@
 
 
 def audit(cell: CellScheduler, guarantees: list[Guarantee]) -> list[str]:
-    gangs = [see(cell, gang) for gang in cell.gangs.values()]
+    gangs = [to_running_gang(cell, gang) for gang in cell.gangs.values()]
     lost = cell.pools[Pool.ACCELERATORS].capacity.lost
     found = find_violations(cell.topology, Pool.ACCELERATORS, lost, guarantees, gangs)
     return [violation.code for violation in found]
 
 
-def see(cell: CellScheduler, gang: Gang) -> RunningGang:
+def to_running_gang(cell: CellScheduler, gang: Gang) -> RunningGang:
     job = gang.job
     block = cell.pools[Pool.ACCELERATORS].blocks.by_id.get(gang.block or "")
     places = block.places if block else None
@@ -145,39 +145,39 @@
     return topology, [Guarantee("a", Shape(2, 4, Level.RACK))], gangs + pinned
 
 
-def test_fixed_history_is_sound():
+def test_fixed_history_has_no_violations():
     assert run_history(*fixed_history()) == []
 
 
-def test_planted_unreserved_guarantee_is_caught():
+def test_planted_unreserved_guarantee_is_detected():
     with patch.object(PoolCapacity, "unreserved", PoolCapacity.capacity):
         topology, guarantees, _ = fixed_history()
         history = [("submit", "b", Shape(1, 2), False, False)] * 8
         assert "guarantee" in run_history(topology, guarantees, history)
 
 
-def test_planted_partial_gang_is_caught():
-    def one_short(shape, *args, **kwargs):
-        places = spread(shape, *args, **kwargs)
+def test_planted_partial_gang_is_detected():
+    def place_one_member_less(shape, *args, **kwargs):
+        places = place_members(shape, *args, **kwargs)
         if places and len(places) > 1:
             places.popitem()
         return places
 
-    spread = placement.spread
-    with patch.object(placement, "spread", one_short):
+    place_members = placement.place_members
+    with patch.object(placement, "place_members", place_one_member_less):
         topology, _, _ = fixed_history()
         history = [("submit", "c", Shape(4, 2, Level.RACK), True, False)]
         assert "partial-gang" in run_history(topology, [], history)
 
 
-def test_planted_double_use_is_caught():
+def test_planted_double_use_is_detected():
     with patch.object(PoolCapacity, "free_units", PoolCapacity.capacity):
         topology, _, _ = fixed_history()
         history = [("submit", "c", Shape(1, 4), True, False)] * 6
         assert "double-use" in run_history(topology, [], history)
 
 
-def test_reclaim_takes_no_more_than_needed():
+def test_reclaim_stops_no_more_gangs_than_needed():
     topology = Topology([Worker("w1", "r", "d", 4, 0), Worker("w2", "r", "d", 4, 0)])
     cell = CellScheduler(topology, [Guarantee("a", Shape(1, 2, Level.WORKER))])
     for number in range(8):
@@ -201,7 +201,7 @@
     assert [block.customer for block in cell.unbacked()] == ["a"]
     cell.submit(Job("pin", "b", CLASS, Shape(1, 1), 10, 15, repeatable=False), 1.0)
     assert cell.decide(1.0) == []
-    assert starting.failure_key(cell, cell.queue.entries["pin"].job)
+    assert job_start.failure_key(cell, cell.queue.entries["pin"].job)
     cell.return_worker("w1")
     cell.decide(2.0)
     assert cell.unbacked() == []
@@ -218,8 +218,8 @@
     assert len(units) == 1
 
 
-def test_audit_tells_equal_workers_of_different_racks_apart():
-    """One worker's four single guarantees must not be laid where a whole rack is needed."""
+def test_audit_distinguishes_equal_workers_of_different_racks():
+    """Guards against placing single-worker guarantees in the only rack that fits a wide one."""
     topology = Topology(Worker(f"k{r}w{w}", f"k{r}", "d", 4, 0) for r in (1, 2) for w in (1, 2, 3))
     wide = Guarantee("big", Shape(3, 4, Level.RACK))
     single = Guarantee("pay", Shape(1, 1, Level.WORKER), 4)
@@ -229,7 +229,7 @@
     assert found == []
 
 
-def test_a_claim_never_takes_back_its_own_customers_gangs():
+def test_reclaiming_a_guarantee_never_stops_gangs_of_its_customer():
     topology = Topology([Worker("w1", "r", "d", 4, 0), Worker("w2", "r", "d", 4, 0)])
     cell = CellScheduler(topology, [Guarantee("a", Shape(1, 4, Level.WORKER))])
     for name in ("own1", "own2"):
--- a/packages/heronthread-scheduling/tests/test_scheduler.py
+++ b/packages/heronthread-scheduling/tests/test_scheduler.py
@@ -1,11 +1,11 @@
-"""Order, bounds, reservations and explanations."""
+"""Queue order, limits, holds and reasons of the cell scheduler."""
 
 from __future__ import annotations
 
 from dataclasses import replace
 
 from heronthread_scheduling import (
-    DEFAULT,
+    DEFAULT_POLICY,
     Accepted,
     Cause,
     CellScheduler,
@@ -20,13 +20,13 @@
     Topology,
     Worker,
 )
-from heronthread_scheduling.policy import Limits
+from heronthread_scheduling.policy import QueueLimits
 
 NORMAL = JobClass("normal")
 URGENT = JobClass("urgent", urgent=True)
 
 
-def make_cell(workers: int = 2, policy=DEFAULT, **more) -> CellScheduler:
+def make_cell(workers: int = 2, policy=DEFAULT_POLICY, **more) -> CellScheduler:
     topology = Topology(Worker(f"w{i}", f"r{i // 4}", "d", 4, 2) for i in range(workers))
     return CellScheduler(topology, policy=policy, **more)
 
@@ -47,8 +47,8 @@
     assert isinstance(cell.submit(make_job("x"), 0.0), Duplicate)
 
 
-def test_full_queue_refuses_at_once():
-    cell = make_cell(policy=replace(DEFAULT, limits=Limits(per_customer=1)))
+def test_full_queue_rejects_a_job_on_submit():
+    cell = make_cell(policy=replace(DEFAULT_POLICY, limits=QueueLimits(per_customer=1)))
     cell.submit(make_job("x"), 0.0)
     refused = cell.submit(make_job("y"), 0.0)
     assert isinstance(refused, NotRun)
@@ -61,7 +61,7 @@
     assert refused.reason.cause is Cause.TOO_LARGE
 
 
-def test_deadline_that_can_not_be_met_is_told_early():
+def test_job_that_can_not_meet_its_deadline_is_not_run():
     cell = make_cell()
     cell.submit(make_job("x", deadline=5.0), 0.0)
     (decision,) = cell.decide(0.0)
@@ -69,7 +69,7 @@
     assert decision.reason.cause is Cause.DEADLINE
 
 
-def test_urgent_work_takes_back_the_gang_that_loses_least():
+def test_urgent_job_reclaims_the_gang_that_loses_the_least_work():
     cell = make_cell(workers=1)
     cell.submit(make_job("old", units=2), 0.0)
     cell.decide(0.0)
@@ -82,7 +82,7 @@
 
 
 def test_large_gang_is_not_starved_by_small_jobs():
-    cell = make_cell(workers=2, policy=replace(DEFAULT, starvation_s=20.0))
+    cell = make_cell(workers=2, policy=replace(DEFAULT_POLICY, starvation_s=20.0))
     for number in range(8):
         cell.submit(make_job(f"s{number}", expected_s=10.0 + number), 0.0)
     cell.decide(0.0)
@@ -100,7 +100,9 @@
 
 
 def test_short_job_backfills_held_workers():
-    cell = make_cell(workers=2, policy=replace(DEFAULT, critical_fraction=1e9, starvation_s=50.0))
+    cell = make_cell(
+        workers=2, policy=replace(DEFAULT_POLICY, critical_fraction=1e9, starvation_s=50.0)
+    )
     cell.submit(make_job("a", units=4, expected_s=100, p95_s=120), 0.0)
     cell.decide(0.0)
     cell.submit(make_job("large", members=2, units=4), 1.0)
@@ -113,7 +115,7 @@
 
 
 def test_large_gang_holds_nothing_while_smaller_jobs_wait():
-    cell = make_cell(workers=2, policy=replace(DEFAULT, critical_fraction=1e9))
+    cell = make_cell(workers=2, policy=replace(DEFAULT_POLICY, critical_fraction=1e9))
     cell.submit(make_job("a", units=4, expected_s=100, p95_s=120), 0.0)
     cell.decide(0.0)
     cell.submit(make_job("large", members=2, units=4), 1.0)
@@ -123,17 +125,19 @@
     assert cell.explain("large").cause is Cause.NO_ROOM
 
 
-def test_weights_decide_whether_large_gangs_go_first():
+def test_weights_decide_whether_large_gangs_start_first():
     for weights, first in (((2.0, 1.0), "small"), ((1.0, 2.0), "large")):
         completion, fragmentation = weights
-        policy = replace(DEFAULT, completion_weight=completion, fragmentation_weight=fragmentation)
+        policy = replace(
+            DEFAULT_POLICY, completion_weight=completion, fragmentation_weight=fragmentation
+        )
         cell = make_cell(workers=2, policy=policy)
         cell.submit(make_job("large", members=2, units=4), 0.0)
         cell.submit(make_job("small"), 0.0)
         assert start_ids(cell.decide(0.0))[0] == first
 
 
-def test_team_quota_bounds_what_a_team_holds():
+def test_team_quota_limits_the_units_that_a_team_holds():
     cell = make_cell(quotas={"a/t": 2})
     for number in range(4):
         cell.submit(make_job(f"j{number}", team="a/t"), 0.0)
