--- a/examples/library/configuration.py
+++ b/examples/library/configuration.py
@@ -1,4 +1,4 @@
-"""Two operators apply at once; one wins, and a host that was behind catches up."""
+"""Two operators apply a file concurrently; one wins, and a host that is behind catches up."""
 
 import trio
 from heronthread_coordination import Configuration, ConfigurationLog, MemoryStore
--- a/examples/library/lease.py
+++ b/examples/library/lease.py
@@ -1,4 +1,4 @@
-"""Two hosts contend for a cell; the first is stopped and the second takes over."""
+"""Two hosts contend for a cell; the first releases its lease and the second takes over."""
 
 import trio
 from heronthread_coordination import CellLease, MemoryStore, Standing
--- a/examples/library/ledger.py
+++ b/examples/library/ledger.py
@@ -1,4 +1,4 @@
-"""An owner writes records; a newer epoch opens the ledger and the old one can add nothing."""
+"""An owner writes records; a newer epoch opens the ledger and fences the old one."""
 
 import trio
 from heronthread_coordination import Ledger, MemoryStore, Record
--- a/examples/library/limits.py
+++ b/examples/library/limits.py
@@ -1,4 +1,4 @@
-"""Limits per customer, a retry budget and a stop that waits for requests."""
+"""Limits per customer, a retry budget and a graceful shutdown."""
 
 import trio
 from heronthread_coordination import CustomerLimits, Drain, RetryBudget
--- a/examples/library/membership.py
+++ b/examples/library/membership.py
@@ -1,4 +1,4 @@
-"""A refused connection and a notice of leaving go before the platform's list."""
+"""A refused connection and a notice of leaving override the platform's host list."""
 
 import trio
 from heronthread_coordination import Member, Membership, rank
--- a/examples/make_examples.py
+++ b/examples/make_examples.py
@@ -1,4 +1,4 @@
-"""Write the two example files, at the sizes of today.
+"""Write the two example files of desired state.
 
 Run from the root of the repository: `python examples/make_examples.py`.
 """
@@ -12,7 +12,7 @@
 
 
 def topology(region: str, cores: int, memory_gb: int) -> Part:
-    """Three failure domains with one rack of 8 workers each, in one cell."""
+    """Return three failure domains with one rack of 8 workers each, in one cell."""
     domains = []
     for letter in "abc":
         name = f"{region}-{letter}"
@@ -32,12 +32,12 @@
 
 
 def gang(members: int, accelerators: int, adjacency: str = "rack") -> Part:
-    """Return a shape in accelerators."""
+    """Return the shape of a gang that uses accelerators."""
     return {"members": members, "accelerators": accelerators, "adjacency": adjacency}
 
 
 def slot() -> Part:
-    """Return one executor slot."""
+    """Return the shape of a single executor slot."""
     return {"members": 1, "slots": 1, "adjacency": "worker"}
 
 
@@ -51,7 +51,7 @@
     p95_s: float,
     **more: object,
 ) -> Part:
-    """Return `count` like jobs."""
+    """Return `count` identical jobs."""
     return {
         "name": name,
         "count": count,
@@ -71,7 +71,7 @@
 
 
 def community_solar_billing() -> Part:
-    """Settlement, reconciliation and recalculation at a month's end."""
+    """Return an example with settlement, reconciliation and recalculation at month-end."""
     coop = "cooperativas-del-interior"
     roof = "azoteas-compartidas"
     small = "medidores-sur"
@@ -114,7 +114,7 @@
 
 
 def fopgap_lima() -> Part:
-    """Tills, bank reconciliation and the payout office at a nightly close."""
+    """Return an example with tills, bank reconciliation and payouts at a nightly close."""
     tills = "cajas-restaurantes"
     bank = "conciliacion-bancaria"
     payout = "oficina-de-pagos"
@@ -161,7 +161,7 @@
 
 
 def main() -> None:
-    """Write both files beside this one."""
+    """Write both files into the directory of this script."""
     here = Path(__file__).parent
     for name, state in (
         ("community-solar-billing", community_solar_billing()),
--- a/packages/heronthread-coordination/src/heronthread_coordination/__init__.py
+++ b/packages/heronthread-coordination/src/heronthread_coordination/__init__.py
@@ -1,7 +1,7 @@
-"""Coordination parts that others can embed: they need trio and a store, no daemon."""
+"""Coordination library; it needs trio and a store, but no daemon."""
 
 from .answer import AnswerCollector, Drop, MemberAnswer, make_answer
-from .budget import Backoff, Breaker, RetryBudget, TokenBucket
+from .budget import Backoff, CircuitBreaker, RetryBudget, TokenBucket
 from .configuration import (
     Applied,
     Configuration,
@@ -27,7 +27,7 @@
     Unavailable,
     Unknown,
     Written,
-    write_settled,
+    write_idempotent,
 )
 
 __all__ = [
@@ -37,7 +37,7 @@
     "Appended",
     "Applied",
     "Backoff",
-    "Breaker",
+    "CircuitBreaker",
     "BudgetedStore",
     "CellLease",
     "Committed",
@@ -81,5 +81,5 @@
     "is_store_down_for_all",
     "make_answer",
     "rank",
-    "write_settled",
+    "write_idempotent",
 ]
--- a/packages/heronthread-coordination/src/heronthread_coordination/answer.py
+++ b/packages/heronthread-coordination/src/heronthread_coordination/answer.py
@@ -1,4 +1,4 @@
-"""Answers of a gang's members: correlated, checked for completeness, put together."""
+"""Collection of the answers of a gang's members into one answer."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class Drop(StrEnum):
-    """Why an answer was dropped."""
+    """Reason for dropping an answer."""
 
     FOREIGN = "foreign"
     LATE = "late"
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberAnswer:
-    """What one member of one attempt answered, as it arrived."""
+    """An answer of one member of an attempt, as received."""
 
     attempt: str
     member: int
@@ -28,19 +28,21 @@
     digest: str
 
 
-def digest_of(content: str) -> str:
-    """Return the digest that goes with an answer."""
+def compute_answer_digest(content: str) -> str:
+    """Return the digest of an answer's content."""
     return xxhash.xxh3_64_hexdigest(content.encode())
 
 
 def make_answer(attempt: str, member: int, content: str) -> MemberAnswer:
     """Return an answer with its length in bytes and its digest."""
-    return MemberAnswer(attempt, member, content, len(content.encode()), digest_of(content))
+    return MemberAnswer(
+        attempt, member, content, len(content.encode()), compute_answer_digest(content)
+    )
 
 
 @dataclass(slots=True)
 class AnswerCollector:
-    """The answers of the attempts that are running now."""
+    """Collects the answers of the open attempts."""
 
     expected: dict[str, int] = field(default_factory=dict)
     answers: dict[str, dict[int, str]] = field(default_factory=dict)
@@ -48,18 +50,18 @@
     ended: set[str] = field(default_factory=set)
 
     def open(self, attempt: str, members: int) -> None:
-        """Expect answers of `members` members of an attempt."""
+        """Start to collect the answers of an attempt with `members` members."""
         self.expected[attempt] = members
         self.answers.setdefault(attempt, {})
 
     def close(self, attempt: str) -> None:
-        """Expect nothing more of an attempt; what still comes is late."""
+        """Stop collecting for an attempt; further answers are dropped as late."""
         if self.expected.pop(attempt, None) is not None:
             self.answers.pop(attempt, None)
             self.ended.add(attempt)
 
     def add(self, answer: MemberAnswer) -> str | Drop | None:
-        """Take one answer; return the whole gang's once the last member's is in."""
+        """Add an answer; return the joined answers once those of all members have arrived."""
         drop = self._judge(answer)
         if drop is not None:
             self.dropped[drop] += 1
@@ -79,6 +81,6 @@
         if answer.member in self.answers[answer.attempt]:
             return Drop.DUPLICATE
         whole = len(answer.content.encode()) == answer.length
-        if not whole or digest_of(answer.content) != answer.digest:
+        if not whole or compute_answer_digest(answer.content) != answer.digest:
             return Drop.PARTIAL
         return None
--- a/packages/heronthread-coordination/src/heronthread_coordination/budget.py
+++ b/packages/heronthread-coordination/src/heronthread_coordination/budget.py
@@ -1,4 +1,4 @@
-"""Budgets for calls and retries, and breakers for slow targets."""
+"""Rate limits, retry budgets, backoff and circuit breakers."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class TokenBucket:
-    """Tokens that return at a steady rate (per second), up to `burst` of them."""
+    """A token bucket refilled at `rate` tokens per second, up to `burst` tokens."""
 
     def __init__(self, rate: float, *, burst: float) -> None:
         self.rate = rate
@@ -18,7 +18,7 @@
         self._updated: float | None = None
 
     async def take(self, count: float = 1.0, *, patience_s: float) -> bool:
-        """Take tokens, waiting for them at most `patience_s`; False if that is too short."""
+        """Take tokens; return False, and take none, if that would wait longer than `patience_s`."""
         self._refill()
         self._tokens -= count
         wait_s = -self._tokens / self.rate
@@ -38,7 +38,7 @@
 
 
 class RetryBudget:
-    """Allows retries up to a fraction of the calls made, plus a few to begin with."""
+    """Limits retries to a fraction of the calls made, plus an initial `reserve`."""
 
     def __init__(self, fraction: float = 0.1, *, reserve: float = 3.0) -> None:
         self.fraction = fraction
@@ -48,12 +48,12 @@
         self.retries = 0
 
     def note_call(self) -> None:
-        """Count a first attempt."""
+        """Record the first attempt of a call."""
         self.calls += 1
         self._credit = min(self.reserve + 100.0, self._credit + self.fraction)
 
     def try_retry(self) -> bool:
-        """Spend one retry if the budget has it."""
+        """Use one retry; return False if the budget is exhausted."""
         if self._credit < 1.0:
             return False
         self._credit -= 1.0
@@ -63,52 +63,52 @@
 
 @dataclass(frozen=True, slots=True)
 class Backoff:
-    """Waits that grow with each attempt (seconds), with full jitter."""
+    """Exponential backoff with full jitter, in seconds."""
 
     first_s: float = 0.05
     factor: float = 2.0
-    largest_s: float = 2.0
+    max_s: float = 2.0
 
     def choose_wait(self, attempt: int, source: random.Random) -> float:
-        """Return how long to wait before the given retry, counted from 0."""
-        bound = min(self.largest_s, self.first_s * self.factor**attempt)
+        """Return the seconds to wait before retry number `attempt`, counted from 0."""
+        bound = min(self.max_s, self.first_s * self.factor**attempt)
         return source.uniform(0, bound)
 
 
-class Breaker:
-    """Keeps calls from a target that fails or answers slowly.
+class CircuitBreaker:
+    """Circuit breaker for a target that fails or responds slowly.
 
-    After `failures` bad calls in a row it stays open for `rest_s`; then one call is let
-    through as a trial.
+    It opens after `failures` consecutive bad calls. After `open_s` it is half open and
+    allows one trial call, whose outcome closes or reopens it.
     """
 
-    def __init__(self, *, failures: int = 3, rest_s: float = 2.0, slow_s: float = 2.0) -> None:
+    def __init__(self, *, failures: int = 3, open_s: float = 2.0, slow_s: float = 2.0) -> None:
         self.failures = failures
-        self.rest_s = rest_s
+        self.open_s = open_s
         self.slow_s = slow_s
-        self._bad = 0
+        self._bad_calls = 0
         self._retry_at = 0.0
-        self._trial = False
+        self._has_trial = False
 
     @property
     def is_open(self) -> bool:
-        """Whether calls are being refused."""
-        return self._bad >= self.failures
+        """Whether the breaker is open or half open."""
+        return self._bad_calls >= self.failures
 
     def try_enter(self) -> bool:
-        """Tell whether a call may be made now."""
+        """Return whether a call may be made now."""
         if not self.is_open:
             return True
-        if trio.current_time() < self._retry_at or self._trial:
+        if trio.current_time() < self._retry_at or self._has_trial:
             return False
-        self._trial = True
+        self._has_trial = True
         return True
 
     def note(self, ok: bool, elapsed_s: float = 0.0) -> None:
-        """Record how a call ended; a slow success counts as bad."""
-        self._trial = False
+        """Record the outcome of a call; a success slower than `slow_s` counts as bad."""
+        self._has_trial = False
         if ok and elapsed_s <= self.slow_s:
-            self._bad = 0
+            self._bad_calls = 0
             return
-        self._bad += 1
-        self._retry_at = trio.current_time() + self.rest_s
+        self._bad_calls += 1
+        self._retry_at = trio.current_time() + self.open_s
--- a/packages/heronthread-coordination/src/heronthread_coordination/configuration.py
+++ b/packages/heronthread-coordination/src/heronthread_coordination/configuration.py
@@ -1,9 +1,9 @@
-"""The configuration in force: whole files, numbered by generation, moved as changes.
+"""Replication of the configuration file, versioned by generation.
 
-A file is kept as named sections. Applying one appends the sections that changed, with
-the names of those removed, as the next entry of a numbered log; the entry's number is the
-generation. So an apply is atomic, of two racing operators one is told who won, and a host
-can only move forward.
+A file is stored as named sections. Applying a file appends the changed sections, with the
+names of removed ones, as the next entry of a numbered log; the entry's number is the
+generation. An apply is therefore atomic, the loser of two concurrent applies learns who
+won, and hosts never return to an earlier generation.
 """
 
 from __future__ import annotations
@@ -19,13 +19,13 @@
 from .store import Absent, Store, Unavailable, Unknown
 
 Sections = dict[str, bytes]
-SNAPSHOT_EVERY = 64
-REMEMBERED_APPLIES = 256
+SNAPSHOT_INTERVAL = 64
+MAX_KEPT_APPLIES = 256
 
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """The step from generation `number - 1` to `number`."""
+    """The change from generation `number - 1` to `number`."""
 
     number: int
     apply_id: str
@@ -49,7 +49,7 @@
 
     @classmethod
     def decode(cls, value: bytes) -> Change:
-        """Read the stored form."""
+        """Decode the stored form."""
         content = json.loads(value)
         changed = {n: base64.b85decode(v) for n, v in content.pop("changed").items()}
         removed = tuple(content.pop("removed"))
@@ -58,14 +58,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Applied:
-    """The file is accepted as this generation."""
+    """The file is in force as this generation."""
 
     generation: int
 
 
 @dataclass(frozen=True, slots=True)
 class Superseded:
-    """Another apply came first; nothing of this one is in force."""
+    """Another apply took this generation first; nothing of this one is in force."""
 
     generation: int
     apply_id: str
@@ -76,7 +76,7 @@
 
 
 def compute_digest(sections: Sections) -> str:
-    """Return a digest of all sections with their names."""
+    """Return a digest over the names and contents of all sections."""
     state = xxhash.xxh3_128()
     for name in sorted(sections):
         state.update(name.encode())
@@ -93,9 +93,10 @@
 
 @dataclass(slots=True)
 class Configuration:
-    """What one host has in force; it only ever moves to higher generations.
+    """The configuration of one host; its generation only increases.
 
-    `wake` is replaced each time a generation is adopted, after the old event was set.
+    `applies` and `winners` map recent apply ids to generations, and generations to apply ids
+    and operators. `wake` is set and replaced each time a generation is adopted.
     """
 
     generation: int = 0
@@ -112,7 +113,7 @@
         return {name: state.content for name, state in self._sections.items()}
 
     def adopt(self, change: Change) -> bool:
-        """Move to the next generation; False if `change` is not that step."""
+        """Adopt the next generation; return False if `change` is not the next one."""
         if change.number != self.generation + 1:
             return False
         return self.adopt_delta(
@@ -127,7 +128,7 @@
         )
 
     def adopt_delta(self, delta: Delta) -> bool:
-        """Move forward by several generations at once; False if `delta` does not apply."""
+        """Adopt several generations at once; return False if `delta` does not apply."""
         if delta.base > self.generation or delta.generation <= self.generation:
             return False
         contents = self.sections
@@ -144,13 +145,13 @@
             self._removed.pop(name, None)
         self.generation = delta.generation
         self.digest = delta.digest
-        self._remember(delta.applies)
+        self._record_applies(delta.applies)
         self.wake.set()
         self.wake = trio.Event()
         return True
 
     def changes_since(self, generation: int) -> Delta | None:
-        """Return what a host at `generation` lacks, or None if it lacks nothing."""
+        """Return the delta from `generation` to this one, or None if there is none."""
         if generation >= self.generation:
             return None
         changed = {n: s.content for n, s in self._sections.items() if s.generation > generation}
@@ -162,17 +163,17 @@
         )
         return Delta(generation, self.generation, self.digest, changed, removed, applies)
 
-    def _remember(self, applies: tuple[tuple[int, str, str], ...]) -> None:
+    def _record_applies(self, applies: tuple[tuple[int, str, str], ...]) -> None:
         for number, apply_id, operator in applies:
             self.applies[apply_id] = number
             self.winners[number] = (apply_id, operator)
-        for number in sorted(self.winners)[:-REMEMBERED_APPLIES]:
+        for number in sorted(self.winners)[:-MAX_KEPT_APPLIES]:
             self.applies.pop(self.winners.pop(number)[0], None)
 
 
 @dataclass(frozen=True, slots=True)
 class Delta:
-    """Everything that changed after generation `base` up to `generation`."""
+    """All changes after generation `base` up to `generation`."""
 
     base: int
     generation: int
@@ -182,14 +183,14 @@
     applies: tuple[tuple[int, str, str], ...] = ()
 
     def encode(self) -> bytes:
-        """Return the form sent to peers and kept in snapshots."""
+        """Return the encoded form for peers and snapshots."""
         changed = {n: base64.b85encode(v).decode() for n, v in sorted(self.changed.items())}
         content = [self.base, self.generation, self.digest, changed, self.removed, self.applies]
         return json.dumps(content, separators=(",", ":")).encode()
 
     @classmethod
     def decode(cls, value: bytes) -> Delta:
-        """Read the sent form."""
+        """Decode the form for peers and snapshots."""
         base, generation, digest, changed, removed, applies = json.loads(value)
         decoded = {n: base64.b85decode(v) for n, v in changed.items()}
         listed = tuple((number, apply_id, operator) for number, apply_id, operator in applies)
@@ -197,13 +198,13 @@
 
 
 class ConfigurationLog:
-    """The generations in the store."""
+    """The log of generations in the store."""
 
     def __init__(self, store: Store) -> None:
         self._log = NumberedLog(store, "config")
 
     async def load(self, configuration: Configuration) -> bool:
-        """Bring a host's configuration up to the store's; False if the store is down."""
+        """Adopt all generations in the store; return False if the store is unavailable."""
         if configuration.generation == 0:
             contents = await self._log.read_all()
             if isinstance(contents, Unavailable):
@@ -217,7 +218,7 @@
         return self._adopt_all(configuration, entries)
 
     async def wait_for_next(self, configuration: Configuration, wait_s: float) -> bool:
-        """Wait for the next generation and adopt it; False if the store is down."""
+        """Wait for the next generation and adopt it; return False if the store is unavailable."""
         found = await self._log.wait_for(configuration.generation + 1, wait_s)
         if isinstance(found, Unavailable):
             return False
@@ -228,10 +229,10 @@
     async def apply(
         self, configuration: Configuration, sections: Sections, apply_id: str, operator: str
     ) -> ApplyOutcome:
-        """Apply a whole file after the generation that `configuration` has.
+        """Apply a whole file as the generation after that of `configuration`.
 
-        An apply id that is already in force is answered with its generation, so that an
-        apply whose answer was lost can be asked again.
+        Idempotent by `apply_id`: an apply whose response was lost can be retried, and
+        returns its original generation.
         """
         if apply_id in configuration.applies:
             return Applied(configuration.applies[apply_id])
@@ -250,7 +251,7 @@
         return outcome
 
     async def _maybe_snapshot(self, configuration: Configuration) -> None:
-        if configuration.generation % SNAPSHOT_EVERY == 0:
+        if configuration.generation % SNAPSHOT_INTERVAL == 0:
             whole = Delta(
                 0,
                 configuration.generation,
@@ -269,7 +270,7 @@
 def make_change(
     configuration: Configuration, sections: Sections, apply_id: str, operator: str
 ) -> Change:
-    """Return the step from what is in force to `sections`."""
+    """Return the change from the current sections to `sections`."""
     current = configuration.sections
     changed = {name: value for name, value in sections.items() if current.get(name) != value}
     removed = tuple(sorted(set(current) - set(sections)))
--- a/packages/heronthread-coordination/src/heronthread_coordination/drain.py
+++ b/packages/heronthread-coordination/src/heronthread_coordination/drain.py
@@ -1,4 +1,4 @@
-"""A planned stop that interrupts no request."""
+"""Graceful shutdown: new requests are refused, those in progress complete."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 
 
 class Draining(Exception):
-    """A request arrived after the stop was announced; it did nothing."""
+    """Raised for a request that arrives after the drain has started; it had no effect."""
 
 
 class Drain:
-    """Counts requests in progress and lets a stop wait for them.
+    """Counts requests in progress, so that a shutdown can wait for them.
 
-    `start` turns readiness off and refuses new requests; `wait_idle` returns when those
-    in progress have ended.
+    After `start` the host is not ready and refuses new requests; `wait_idle` returns when
+    the requests in progress have ended.
     """
 
     def __init__(self) -> None:
@@ -26,7 +26,7 @@
         self._idle = trio.Event()
 
     def start(self) -> None:
-        """Announce the stop."""
+        """Start to refuse new requests."""
         self.is_draining = True
         self.started.set()
         if self.in_progress == 0:
@@ -38,9 +38,9 @@
 
     @contextmanager
     def request(self) -> Iterator[None]:
-        """Count one request; raises `Draining` if the stop was announced."""
+        """Count one request; raise `Draining` if the drain has started."""
         if self.is_draining:
-            raise Draining("this host is stopping; another host answers")
+            raise Draining("this host is draining; retry on another host")
         self.in_progress += 1
         try:
             yield
--- a/packages/heronthread-coordination/src/heronthread_coordination/histogram.py
+++ b/packages/heronthread-coordination/src/heronthread_coordination/histogram.py
@@ -1,4 +1,4 @@
-"""Histograms per customer and class, mergeable across hosts."""
+"""Latency histograms by customer and class, mergeable across hosts."""
 
 from __future__ import annotations
 
@@ -9,15 +9,16 @@
 
 LOWEST_MS = 1
 HIGHEST_MS = 7 * 86_400_000
-DIGITS = 2
+SIGNIFICANT_DIGITS = 2
 
 
 class Measure(StrEnum):
-    """What is measured of a job or of a host itself, in milliseconds.
+    """Measured durations, in milliseconds.
 
-    `WAITING`: accepted until started; `START`: decided until running on all workers;
-    `COMPLETION`: accepted until done; `ANSWER`: asked until answered at an entry host.
-    `PLAN`: one plan of an owner; `LATENESS`: by how much a timer was late.
+    `WAITING`: from acceptance of a job to its start; `START`: from the decision to start until
+    the job runs on all workers; `COMPLETION`: from acceptance to completion; `ANSWER`: from
+    request to response at an entry host; `PLAN`: one planning pass of an owner; `LATENESS`:
+    delay of a timer.
     """
 
     WAITING = "waiting"
@@ -30,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Key:
-    """One histogram's customer, class and measure."""
+    """Customer, class and measure of a histogram."""
 
     customer: str
     job_class: str
@@ -39,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Summary:
-    """Count, percentiles and maximum of one histogram, in milliseconds."""
+    """Count of a histogram, with its percentiles and maximum in milliseconds."""
 
     count: int
     p50: int
@@ -55,7 +56,7 @@
     by_key: dict[Key, HdrHistogram] = field(default_factory=dict)
 
     def record(self, customer: str, job_class: str, measure: Measure, seconds: float) -> None:
-        """Record one duration in seconds; longer than a week counts as a week."""
+        """Record a duration in seconds, capped at one week."""
         value = min(HIGHEST_MS, max(LOWEST_MS, round(seconds * 1000)))
         self._get(Key(customer, job_class, measure)).record_value(value)
 
@@ -66,7 +67,7 @@
         return Summary(histogram.get_total_count(), p50, p95, p99, histogram.get_max_value())
 
     def encode(self) -> dict[str, str]:
-        """Return every histogram in the compressed form that other hosts can merge."""
+        """Return all histograms in compressed form, for `merge` on another host."""
         return {
             "\t".join((key.customer, key.job_class, key.measure)): h.encode().decode()
             for key, h in self.by_key.items()
@@ -81,5 +82,5 @@
     def _get(self, key: Key) -> HdrHistogram:
         histogram = self.by_key.get(key)
         if histogram is None:
-            histogram = self.by_key[key] = HdrHistogram(LOWEST_MS, HIGHEST_MS, DIGITS)
+            histogram = self.by_key[key] = HdrHistogram(LOWEST_MS, HIGHEST_MS, SIGNIFICANT_DIGITS)
         return histogram
--- a/packages/heronthread-coordination/src/heronthread_coordination/lease.py
+++ b/packages/heronthread-coordination/src/heronthread_coordination/lease.py
@@ -1,4 +1,4 @@
-"""Ownership of a cell: a lease in the store with an epoch."""
+"""Ownership of a cell by a lease in the store, fenced by an epoch."""
 
 from __future__ import annotations
 
@@ -10,18 +10,18 @@
 
 import trio
 
-from .store import Absent, Conflict, Entry, Store, Unavailable, Unknown, Written, write_settled
+from .store import Absent, Conflict, Entry, Store, Unavailable, Unknown, Written, write_idempotent
 
 DEFAULT_DURATION_S = 5.0
-DEFAULT_MARGIN_S = 0.5
+DEFAULT_SAFETY_MARGIN_S = 0.5
 RENEWALS_PER_LEASE = 3
 
 
 @dataclass(frozen=True, slots=True)
 class OwnerRecord:
-    """The value of an owner key; an empty `host` means that the cell was handed over.
+    """The stored lease of a cell; an empty `host` means that the cell was released.
 
-    `sequence` grows with each renewal. `duration_s` is how long the owner may rely on one.
+    `sequence` increases with each renewal, and `duration_s` is the validity of a renewal.
     """
 
     cell: str
@@ -38,15 +38,15 @@
 
     @classmethod
     def decode(cls, value: bytes) -> OwnerRecord:
-        """Read the stored form."""
+        """Decode the stored form."""
         return cls(**json.loads(value))
 
 
 class Standing(Enum):
-    """What a host may do for a cell.
+    """Ownership state of a host for a cell.
 
-    `DEGRADED` is an owner whose lease ran out while nobody can reach the store: it keeps
-    what runs and starts work that may run twice safely, but claims nothing new.
+    A `DEGRADED` owner's lease has expired while no host can reach the store. It keeps running
+    jobs and starts jobs that may safely run twice, but no others.
     """
 
     OWNER = "owner"
@@ -55,13 +55,13 @@
 
 
 class CellLease:
-    """One host's lease on one cell, renewed for as long as the context is open.
+    """One host's lease on one cell, released when the context exits without an error.
 
-    The holder counts its lease from before it sent the renewal, on the monotonic clock,
-    and gives up `margin_s` early. A contender takes over once it has itself seen the same
-    record for the whole duration; after a store failure it begins to count anew, so that
-    an outage alone never deposes an owner. `delay_s` puts contenders in an order.
-    `is_store_down_for_all` tells whether the peers can't reach the store either.
+    The owner counts the lease duration from before it sends the renewal, on the monotonic
+    clock, and stops `safety_margin_s` before the end. A contender takes over once it has
+    observed the same record for the whole duration. After a store failure it restarts that
+    interval, so an outage alone never deposes an owner. `delay_s` staggers the contenders.
+    Set `is_store_down_for_all` while the peers can't reach the store either.
     """
 
     def __init__(
@@ -72,7 +72,7 @@
         address: str,
         *,
         duration_s: float = DEFAULT_DURATION_S,
-        margin_s: float = DEFAULT_MARGIN_S,
+        safety_margin_s: float = DEFAULT_SAFETY_MARGIN_S,
         delay_s: float = 0.0,
     ) -> None:
         self._store = store
@@ -80,17 +80,17 @@
         self.host = host
         self.address = address
         self.duration_s = duration_s
-        self.margin_s = margin_s
+        self.safety_margin_s = safety_margin_s
         self.delay_s = delay_s
         self.epoch = 0
         self.record: OwnerRecord | None = None
         self.is_contender = True
         self.is_store_down_for_all = False
         self._revision = 0
-        self._until = float("-inf")
-        self._mine = False
-        self._seen: tuple[int, int] | None = None
-        self._seen_since = 0.0
+        self._expires_at = float("-inf")
+        self._is_owner = False
+        self._observed: tuple[int, int] | None = None
+        self._observed_since = 0.0
         self._store_failed = False
         self.changed = trio.Event()
 
@@ -108,22 +108,22 @@
 
     @property
     def standing(self) -> Standing:
-        """What this host may do for the cell at this moment."""
-        if not self._mine:
+        """The current ownership state of this host."""
+        if not self._is_owner:
             return Standing.NOT_OWNER
-        if trio.current_time() < self._until:
+        if trio.current_time() < self._expires_at:
             return Standing.OWNER
         return Standing.DEGRADED if self.is_store_down_for_all else Standing.NOT_OWNER
 
     @property
     def is_held(self) -> bool:
-        """Whether no other owner is known, though the lease may have run out."""
-        return self._mine
+        """Whether this host is the last known owner, even if the lease has expired."""
+        return self._is_owner
 
     async def run(self) -> None:
-        """Renew the lease, or try to get it, until cancelled."""
+        """Renew or try to acquire the lease until cancelled."""
         while True:
-            if self._mine:
+            if self._is_owner:
                 await self._renew()
                 await trio.sleep(self.duration_s / RENEWALS_PER_LEASE)
             else:
@@ -131,24 +131,24 @@
                 await trio.sleep(self.duration_s / (2 * RENEWALS_PER_LEASE))
 
     def depose(self) -> None:
-        """Stop owning the cell, because a higher epoch was seen."""
-        if self._mine:
-            self._mine = False
-            self._until = float("-inf")
-            self._seen = None
+        """Give up ownership without releasing the lease, after a higher epoch was observed."""
+        if self._is_owner:
+            self._is_owner = False
+            self._expires_at = float("-inf")
+            self._observed = None
             self._notify()
 
     async def hand_over(self) -> None:
-        """Release the cell so that another host may take it at once; contend no more."""
+        """Release the lease, so that another host can acquire it at once, and stop contending."""
         self.is_contender = False
-        if not self._mine or self.record is None:
+        if not self._is_owner or self.record is None:
             return
         released = self._next_record(self.record.epoch, self.record.sequence + 1, host="")
         revision = self._revision
         self.depose()
         with trio.move_on_after(self.duration_s) as scope:
             scope.shield = True
-            await write_settled(self._store, self._key, released.encode(), expect=revision)
+            await write_idempotent(self._store, self._key, released.encode(), expect=revision)
 
     @property
     def _key(self) -> str:
@@ -162,23 +162,25 @@
     async def _renew(self) -> None:
         assert self.record is not None
         record = self._next_record(self.record.epoch, self.record.sequence + 1, self.host)
-        sent = trio.current_time()
-        outcome = await write_settled(
+        sent_at = trio.current_time()
+        outcome = await write_idempotent(
             self._store, self._key, record.encode(), expect=self._revision
         )
-        self._note_store(outcome)
-        if not self._mine and not self.is_contender:
-            # Handed over meanwhile: it undid the release, and would hold the cell for ever.
+        self._record_store_outcome(outcome)
+        if not self._is_owner and not self.is_contender:
+            # The lease was released during the write, which may have overwritten the release.
             if isinstance(outcome, Written):
                 free = self._next_record(record.epoch, record.sequence + 1, host="")
-                await write_settled(self._store, self._key, free.encode(), expect=outcome.revision)
+                await write_idempotent(
+                    self._store, self._key, free.encode(), expect=outcome.revision
+                )
         elif isinstance(outcome, Written):
-            self._grant(record, outcome.revision, sent)
+            self._grant(record, outcome.revision, sent_at)
         elif isinstance(outcome, Conflict):
-            await self._settle_conflict(outcome.current)
+            await self._resolve_conflict(outcome.current)
 
-    async def _settle_conflict(self, current: Entry | Absent) -> None:
-        """Tell an earlier write of our own, whose answer was lost, from a new owner's."""
+    async def _resolve_conflict(self, current: Entry | Absent) -> None:
+        """Adopt an earlier write of this host whose response was lost; otherwise depose."""
         if isinstance(current, Entry):
             record = OwnerRecord.decode(current.value)
             if record.host == self.host and record.epoch == self.epoch:
@@ -190,63 +192,63 @@
 
     async def _contend(self) -> None:
         if not self.is_contender:
-            self._seen = None
+            self._observed = None
             return
         current = await self._store.read(self._key)
-        self._note_store(current)
+        self._record_store_outcome(current)
         if isinstance(current, Unavailable):
-            self._seen = None
+            self._observed = None
             return
         self._observe(current)
-        if self.is_contender and self._may_take(current):
-            await self._take(current)
+        if self.is_contender and self._can_acquire(current):
+            await self._acquire(current)
 
     def _observe(self, current: Entry | Absent) -> None:
         record = OwnerRecord.decode(current.value) if isinstance(current, Entry) else None
         seen = (record.epoch, record.sequence) if record else (0, 0)
-        if seen != self._seen:
-            self._seen = seen
-            self._seen_since = trio.current_time()
+        if seen != self._observed:
+            self._observed = seen
+            self._observed_since = trio.current_time()
         changed = (record and record.host) != (self.record and self.record.host)
         self.record = record
         self._revision = current.revision
         if changed:
             self._notify()
 
-    def _may_take(self, current: Entry | Absent) -> bool:
-        waited = trio.current_time() - self._seen_since
+    def _can_acquire(self, current: Entry | Absent) -> bool:
+        waited = trio.current_time() - self._observed_since
         if self.record is None or not self.record.host:
             return waited >= self.delay_s
         return waited >= self.record.duration_s + self.delay_s
 
-    async def _take(self, current: Entry | Absent) -> None:
+    async def _acquire(self, current: Entry | Absent) -> None:
         epoch = (self.record.epoch if self.record else 0) + 1
         record = self._next_record(epoch, 0, self.host)
-        sent = trio.current_time()
-        outcome = await write_settled(
+        sent_at = trio.current_time()
+        outcome = await write_idempotent(
             self._store, self._key, record.encode(), expect=current.revision
         )
         if isinstance(outcome, Written):
             self.epoch = epoch
-            self._grant(record, outcome.revision, sent)
+            self._grant(record, outcome.revision, sent_at)
         elif isinstance(outcome, Unknown):
-            self._seen = None
+            self._observed = None
 
-    def _grant(self, record: OwnerRecord, revision: int, sent: float) -> None:
-        was_mine = self._mine
-        self._mine = True
+    def _grant(self, record: OwnerRecord, revision: int, sent_at: float) -> None:
+        was_mine = self._is_owner
+        self._is_owner = True
         self.record = record
         self._revision = revision
-        self._until = sent + self.duration_s - self.margin_s
+        self._expires_at = sent_at + self.duration_s - self.safety_margin_s
         if not was_mine:
             self._notify()
 
-    def _note_store(self, outcome: object) -> None:
+    def _record_store_outcome(self, outcome: object) -> None:
         self._store_failed = isinstance(outcome, Unavailable | Unknown)
 
     @property
     def store_failed(self) -> bool:
-        """Whether this host's last call for the lease failed."""
+        """Whether the last store call for the lease failed."""
         return self._store_failed
 
     def _notify(self) -> None:
--- a/packages/heronthread-coordination/src/heronthread_coordination/ledger.py
+++ b/packages/heronthread-coordination/src/heronthread_coordination/ledger.py
@@ -1,4 +1,4 @@
-"""The ledger: what must not be forgotten about each job, committed in groups."""
+"""Durable job records of a cell, committed in batches."""
 
 from __future__ import annotations
 
@@ -16,15 +16,16 @@
 
 COMMIT_INTERVAL_S = 1.0
 MAX_COMMIT_BYTES = 900_000
-SNAPSHOT_EVERY = 128
+SNAPSHOT_INTERVAL = 128
 RETRY_S = 1.0
 
 
 @dataclass(frozen=True, slots=True)
 class Record:
-    """The latest state of one key; a later record of the key replaces it.
+    """The state of one key; a later record of the key replaces it.
 
-    `final` records may be dropped `retention_s` after `at` (seconds since the epoch).
+    A `final` record may be dropped once `retention_s` have passed since `at` (seconds since
+    the epoch).
     """
 
     key: str
@@ -35,14 +36,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Committed:
-    """The record is in the store."""
+    """The record is stored in log entry `number`."""
 
     number: int
 
 
 @dataclass(frozen=True, slots=True)
 class Deposed:
-    """A newer owner writes this ledger; the record is not in it."""
+    """The writer was closed or fenced by a newer epoch; the record was not written."""
 
     reason: str
 
@@ -55,8 +56,8 @@
     outcome: Committed | Deposed | None = None
 
 
-class Records:
-    """The latest record of each key, with bodies kept encoded: an eighth of the memory."""
+class LatestRecords:
+    """The latest record of each key; bodies are kept as JSON to save memory."""
 
     def __init__(self) -> None:
         self._stored: dict[str, tuple[float, bool, bytes]] = {}
@@ -72,7 +73,7 @@
             yield Record(key, at, final, json.loads(body))
 
     def put(self, record: Record) -> None:
-        """Replace the record of a key."""
+        """Set the record of a key."""
         body = json.dumps(record.body, separators=(",", ":")).encode()
         self._stored[record.key] = (record.at, record.final, body)
 
@@ -85,12 +86,11 @@
 
 
 class Ledger:
-    """The ledger of one cell, written by one owner epoch.
+    """The ledger of one cell, written by the owner of one epoch.
 
-    Opening it reads everything and puts a mark of the epoch into the log; from then on
-    an older epoch's append finds its number taken. `run` commits what `append` queues, at
-    most once each `commit_interval_s`; a commit that can't reach the store is tried again
-    until it is in or the epoch is deposed.
+    `open` reads the log and appends an entry of its epoch, which fences older epochs: their
+    next append finds its number taken. `run` commits the queued records, at most once each
+    `commit_interval_s`, and retries while the store is unavailable.
     """
 
     def __init__(
@@ -107,7 +107,7 @@
         self.epoch = epoch
         self.retention_s = retention_s
         self.commit_interval_s = commit_interval_s
-        self.records = Records()
+        self.records = LatestRecords()
         self.number = 0
         self.commits = 0
         self.bytes_written = 0
@@ -129,21 +129,21 @@
         self._depose("the ledger was closed")
 
     async def open(self) -> Committed | Deposed | Unavailable:
-        """Read the ledger and mark it as written by this epoch."""
+        """Read the ledger and fence older epochs."""
         contents = await self._log.read_all()
         if isinstance(contents, Unavailable):
             return contents
-        self.records = Records()
+        self.records = LatestRecords()
         if contents.snapshot is not None:
-            self._fold(json.loads(contents.snapshot)["records"])
+            self._put_records(json.loads(contents.snapshot)["records"])
         self._snapshot_number = contents.snapshot_number
         self.number = contents.snapshot_number
         for entry in contents.entries:
-            self._read_entry(entry)
-        return await self._mark()
+            self._replay_entry(entry)
+        return await self._append_epoch_entry()
 
-    async def _mark(self) -> Committed | Deposed | Unavailable:
-        """Append the epoch's first entry, after everything older writers appended."""
+    async def _append_epoch_entry(self) -> Committed | Deposed | Unavailable:
+        """Append the first entry of this epoch, after reading all entries of older epochs."""
         while self.deposed is None:
             value = self._encode([])
             outcome = await self._log.append(self.number + 1, value)
@@ -151,21 +151,21 @@
                 self.number = outcome.number
                 return Committed(outcome.number)
             if isinstance(outcome, Taken):
-                self._read_entry(outcome.entry)
+                self._replay_entry(outcome.entry)
                 continue
             return Unavailable(outcome.reason)
         return self.deposed
 
     async def append(self, record: Record) -> Committed | Deposed:
-        """Queue a record and wait until it is in the store, or the epoch is deposed.
+        """Queue a record and wait until it is committed or the epoch is deposed.
 
-        If the wait is cancelled the record may still be committed later.
+        The record may still be committed after the wait was cancelled.
         """
         (outcome,) = await self.append_all([record])
         return outcome
 
     async def append_all(self, records: list[Record]) -> list[Committed | Deposed]:
-        """Queue several records, committed together as far as they fit, and wait."""
+        """Queue records and wait for them; they are committed together as far as they fit."""
         pending = [self._enqueue(record) for record in records]
         for item in pending:
             await item.done.wait()
@@ -177,11 +177,11 @@
 
     @property
     def backlog(self) -> int:
-        """How many records wait to be committed."""
+        """Number of records waiting to be committed."""
         return len(self._queue)
 
     async def flush(self) -> None:
-        """Wait until everything queued so far is committed, or the epoch is deposed."""
+        """Wait until all records queued so far are committed or the epoch is deposed."""
         for item in list(self._queue):
             await item.done.wait()
 
@@ -246,7 +246,7 @@
             item.done.set()
 
     async def _maybe_snapshot(self) -> None:
-        if self.deposed is not None or self.number - self._snapshot_number < SNAPSHOT_EVERY:
+        if self.deposed is not None or self.number - self._snapshot_number < SNAPSHOT_INTERVAL:
             return
         self.records.expire(self.retention_s)
         value = json.dumps({"records": [_to_json(r) for r in self.records]}).encode()
@@ -257,14 +257,14 @@
         entry = {"epoch": self.epoch, "id": uuid.uuid4().hex, "records": records}
         return json.dumps(entry, separators=(",", ":")).encode()
 
-    def _read_entry(self, entry: LogEntry) -> None:
+    def _replay_entry(self, entry: LogEntry) -> None:
         content = json.loads(entry.value)
         if content["epoch"] > self.epoch:
             self._depose(f"epoch {content['epoch']} writes the ledger")
-        self._fold(content["records"])
+        self._put_records(content["records"])
         self.number = entry.number
 
-    def _fold(self, records: list[dict[str, Any]]) -> None:
+    def _put_records(self, records: list[dict[str, Any]]) -> None:
         for item in records:
             self.records.put(Record(item["k"], item["t"], bool(item["f"]), item["b"]))
 
--- a/packages/heronthread-coordination/src/heronthread_coordination/limit.py
+++ b/packages/heronthread-coordination/src/heronthread_coordination/limit.py
@@ -1,4 +1,4 @@
-"""Bounds on concurrent work: per customer on entry, per target on the way out."""
+"""Concurrency limits for incoming requests by customer and outgoing calls by target."""
 
 from __future__ import annotations
 
@@ -8,17 +8,17 @@
 
 import trio
 
-from .budget import Breaker
+from .budget import CircuitBreaker
 
 
 @dataclass(frozen=True, slots=True)
 class Admitted:
-    """The request may go on."""
+    """The request was admitted."""
 
 
 @dataclass(frozen=True, slots=True)
 class Overloaded:
-    """The request was refused and did nothing; come back after `retry_after_s`."""
+    """The request was refused without effect; retry after `retry_after_s`."""
 
     reason: str
     retry_after_s: float
@@ -26,7 +26,7 @@
 
 @dataclass(slots=True)
 class CustomerLimits:
-    """Bounds the requests of each customer in progress, and of all together."""
+    """Limits the concurrent requests of each customer and in total."""
 
     per_customer: int = 256
     total: int = 1024
@@ -35,7 +35,7 @@
     refused: int = 0
 
     def enter(self, customer: str) -> Admitted | Overloaded:
-        """Count one more request of a customer, or refuse it."""
+        """Admit and count a request of a customer, or refuse it."""
         if sum(self.in_progress.values()) >= self.total:
             self.refused += 1
             return Overloaded(f"{self.total} requests are in progress", self.retry_after_s)
@@ -47,7 +47,7 @@
         return Admitted()
 
     def leave(self, customer: str) -> None:
-        """Count one request less."""
+        """Record the end of a request."""
         left = self.in_progress[customer] - 1
         if left:
             self.in_progress[customer] = left
@@ -56,20 +56,20 @@
 
 
 class TargetLimits:
-    """One bounded set of connections and one breaker for each target."""
+    """A connection limit and a circuit breaker for each target."""
 
     def __init__(self, connections: int = 8) -> None:
         self.connections = connections
         self._limiters: dict[str, trio.CapacityLimiter] = {}
-        self._breakers: dict[str, Breaker] = {}
+        self._breakers: dict[str, CircuitBreaker] = {}
 
-    def breaker(self, target: str) -> Breaker:
-        """Return the target's breaker."""
-        return self._breakers.setdefault(target, Breaker())
+    def breaker(self, target: str) -> CircuitBreaker:
+        """Return the circuit breaker of a target."""
+        return self._breakers.setdefault(target, CircuitBreaker())
 
     @asynccontextmanager
     async def connection(self, target: str) -> AsyncIterator[None]:
-        """Hold one of the target's connections."""
+        """Occupy one of the target's connections, waiting until one is free."""
         limiter = self._limiters.get(target)
         if limiter is None:
             limiter = self._limiters[target] = trio.CapacityLimiter(self.connections)
--- a/packages/heronthread-coordination/src/heronthread_coordination/log.py
+++ b/packages/heronthread-coordination/src/heronthread_coordination/log.py
@@ -1,9 +1,9 @@
-"""A numbered log in the store, on which the ledger and the configuration rest.
+"""A numbered log in the store, used by the ledger and the configuration.
 
-Each number is one key that is only ever created, never replaced. So of two writers that
-append the same number one is told who came first, and a writer that fell behind can't
-add anything until it has read what it missed: no clock is involved. Snapshots bound what
-a reader must read; a snapshot at number n stands for all entries up to n, whoever wrote it.
+Each entry is a key that is created once and never overwritten. If two writers append the
+same number, one of them gets the other's entry, and a writer that is behind must read the
+missing entries before it can append; neither needs a clock. A snapshot at number n replaces
+all entries up to n, which limits the entries to read.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
     Unavailable,
     Unknown,
     Written,
-    write_settled,
+    write_idempotent,
 )
 
 NUMBER_DIGITS = 12
@@ -44,20 +44,20 @@
 
     @property
     def last(self) -> int:
-        """The number of the last entry; 0 for an empty log."""
+        """Number of the last entry; 0 if the log is empty."""
         return self.entries[-1].number if self.entries else self.snapshot_number
 
 
 @dataclass(frozen=True, slots=True)
 class Appended:
-    """The entry is in the log."""
+    """The entry was appended."""
 
     number: int
 
 
 @dataclass(frozen=True, slots=True)
 class Taken:
-    """Another writer's entry has that number."""
+    """The number is taken by another writer's entry."""
 
     entry: LogEntry
 
@@ -66,25 +66,25 @@
 
 
 class NumberedLog:
-    """The keys of one log under `prefix`."""
+    """A log stored under the keys with `prefix`."""
 
     def __init__(self, store: Store, prefix: str) -> None:
         self._store = store
         self._prefix = prefix
 
     async def append(self, number: int, value: bytes) -> AppendOutcome:
-        """Create entry `number`; `value` must be unique to this append."""
+        """Append entry `number`; `value` must be unique to this call."""
         key = self.key(number)
-        outcome = await write_settled(self._store, key, value, expect=0)
+        outcome = await write_idempotent(self._store, key, value, expect=0)
         if isinstance(outcome, Written):
             return Appended(number)
         if isinstance(outcome, Conflict):
-            assert isinstance(outcome.current, Entry), "a created key can't be absent"
+            assert isinstance(outcome.current, Entry), "conflict on a key that does not exist"
             return Taken(LogEntry(number, outcome.current.value))
         return outcome
 
     async def read_all(self) -> LogContents | Unavailable:
-        """Read the newest snapshot and what follows it."""
+        """Read the newest snapshot and the entries after it."""
         head = await self._store.read(f"{self._prefix}/head")
         if isinstance(head, Unavailable):
             return head
@@ -103,7 +103,7 @@
         return LogContents(snapshot, number, entries)
 
     async def read_after(self, number: int) -> tuple[LogEntry, ...] | Unavailable:
-        """Return the entries after `number`, without gaps."""
+        """Return the entries after `number`, or `Unavailable` if one is missing."""
         found = await self._store.read_range(f"{self._prefix}/entry/", after=self.key(number))
         if isinstance(found, Unavailable):
             return found
@@ -117,16 +117,16 @@
         return tuple(entries)
 
     async def wait_for(self, number: int, wait_s: float) -> LogEntry | Absent | Unavailable:
-        """Wait until entry `number` exists, at most `wait_s` seconds."""
+        """Wait at most `wait_s` seconds for entry `number`."""
         found = await self._store.watch(self.key(number), revision=0, wait_s=wait_s)
         if isinstance(found, Entry):
             return LogEntry(number, found.value)
         return found
 
     async def write_snapshot(self, number: int, value: bytes) -> bool:
-        """Store a snapshot of all entries up to `number`, then drop what it stands for.
+        """Store a snapshot of all entries up to `number`, then delete those entries.
 
-        Returns False if the store did not take it or a newer snapshot exists.
+        Returns False if the write failed or there is a newer snapshot.
         """
         head_key = f"{self._prefix}/head"
         head = await self._store.read(head_key)
@@ -141,7 +141,7 @@
             if not isinstance(written, Written | Conflict):
                 return False
         described = json.dumps({"number": number, "parts": max(1, len(parts))}).encode()
-        outcome = await write_settled(self._store, head_key, described, expect=head.revision)
+        outcome = await write_idempotent(self._store, head_key, described, expect=head.revision)
         if not isinstance(outcome, Written):
             return False
         await self._drop(old, number)
@@ -164,7 +164,7 @@
         return b"".join(parts)
 
     async def _drop(self, old: dict[str, int], number: int) -> None:
-        """Delete what a snapshot replaced; what stays after a failure only takes space."""
+        """Delete what a snapshot replaces; failures are ignored, as leftovers only take space."""
         for index in range(old["parts"]):
             await self._store.delete(self._part_key(old["number"], index))
         for past in range(old["number"] + 1, number + 1):
--- a/packages/heronthread-coordination/src/heronthread_coordination/membership.py
+++ b/packages/heronthread-coordination/src/heronthread_coordination/membership.py
@@ -1,4 +1,4 @@
-"""Which hosts and targets may be given work, from a list that lags."""
+"""Membership of hosts and targets, from an eventually consistent host list."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 import trio
 import xxhash
 
-SUSPICION_S = 5.0
+SUSPECT_DURATION_S = 5.0
 
 
 @dataclass(frozen=True, slots=True)
 class Member:
-    """A host of the host list; `leaving` ones get nothing new."""
+    """A host in the host list; a `leaving` host gets no new work."""
 
     name: str
     address: str
@@ -24,14 +24,14 @@
 
 @dataclass(slots=True)
 class Membership:
-    """What one host knows of the others.
+    """One host's view of the other members.
 
-    The platform's list lags, so two things go before it: a refused connection makes a
-    member suspect for `suspicion_s`, and a notice that a member is leaving, once heard
-    from anyone, stands until the list drops that member.
+    As the platform's host list lags, two facts override it: a refused connection makes a
+    member suspect for `suspect_duration_s`, and a member reported as leaving by any host is
+    leaving until the list no longer contains it.
     """
 
-    suspicion_s: float = SUSPICION_S
+    suspect_duration_s: float = SUSPECT_DURATION_S
     version: int = 0
     members: dict[str, Member] = field(default_factory=dict)
     leaving: set[str] = field(default_factory=set)
@@ -39,7 +39,7 @@
     _suspect_until: dict[str, float] = field(default_factory=dict)
 
     def update(self, version: int, members: Iterable[Member]) -> bool:
-        """Take over a host list; an older version than the one known is ignored."""
+        """Replace the host list; return False for a version older than the current one."""
         if version < self.version:
             return False
         self.version = version
@@ -50,7 +50,7 @@
         return True
 
     def note_leaving(self, names: Iterable[str]) -> bool:
-        """Record that members are leaving; True if that is news."""
+        """Record that members are leaving; return whether any of them was not recorded yet."""
         new = set(names) - self.leaving
         if not new:
             return False
@@ -60,39 +60,40 @@
         return True
 
     def note_refused(self, name: str) -> None:
-        """Record a refused connection: nothing goes there for a while."""
-        self._suspect_until[name] = trio.current_time() + self.suspicion_s
+        """Record a refused connection: the member is suspect for `suspect_duration_s`."""
+        self._suspect_until[name] = trio.current_time() + self.suspect_duration_s
 
     def note_alive(self, name: str) -> None:
-        """Record that a member answered."""
+        """Record that a member responded; it is no longer suspect."""
         self._suspect_until.pop(name, None)
 
     def is_suspect(self, name: str) -> bool:
-        """Tell whether a member refused a connection of late."""
+        """Return whether a member recently refused a connection."""
         return trio.current_time() < self._suspect_until.get(name, float("-inf"))
 
     def is_usable(self, name: str) -> bool:
-        """Tell whether a member may get new work; one the list does not name may."""
+        """Return whether a member may get new work; it need not be in the host list."""
         return name not in self.leaving and not self.is_suspect(name)
 
     def usable(self) -> list[Member]:
-        """Return the members that may get new work, by name."""
+        """Return the members that may get new work, sorted by name."""
         return [m for name, m in sorted(self.members.items()) if self.is_usable(name)]
 
 
 def rank(name: str, key: str, names: Iterable[str]) -> int:
-    """Return the place of `name` among `names` for `key`, by rendezvous hashing; 0 is first."""
+    """Return the rank of `name` among `names` for `key` by rendezvous hashing; 0 is first."""
     own = _weight(name, key)
     return sum(1 for other in names if other != name and _weight(other, key) > own)
 
 
-def is_store_down_for_all(heard: Collection[bool], *, has_peers: bool) -> bool:
-    """Tell whether nobody reaches the store, for a host that does not.
+def is_store_down_for_all(peer_reports: Collection[bool], *, has_peers: bool) -> bool:
+    """Return whether no host can reach the store, for a host that can't.
 
-    `heard` is what the peers heard of late say of it. A host that hears none of its peers may
-    be cut off itself, so it must not count its lease as good any longer; one without peers may.
+    `peer_reports` says for each peer with a recent message whether it reaches the store. A
+    host without reports from its peers may be partitioned from them and must not rely on its
+    lease any longer; a host without peers may.
     """
-    return not any(heard) if heard else not has_peers
+    return not any(peer_reports) if peer_reports else not has_peers
 
 
 def _weight(name: str, key: str) -> int:
--- a/packages/heronthread-coordination/src/heronthread_coordination/memory.py
+++ b/packages/heronthread-coordination/src/heronthread_coordination/memory.py
@@ -1,4 +1,4 @@
-"""A store in memory, with the faults of a real one, for tests, examples and the demo."""
+"""In-memory store with fault injection, for tests, examples and the demo."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 @dataclass(slots=True)
 class StoreFaults:
-    """What goes wrong now: down, slow by `delay_s`, or the next answers lost after effect."""
+    """Injected faults: an outage, a delay, or the loss of the next `lose_answers` responses."""
 
     down: bool = False
     delay_s: float = 0.0
@@ -30,7 +30,7 @@
 
 @dataclass(slots=True)
 class MemoryStore:
-    """All keys in memory; `faults` apply to every caller alike."""
+    """In-memory store; `faults` apply to all callers."""
 
     faults: StoreFaults = field(default_factory=StoreFaults)
     entries: dict[str, Entry] = field(default_factory=dict)
@@ -42,14 +42,14 @@
     async def read(self, key: str) -> ReadOutcome:
         """Return the key's entry."""
         self.reads += 1
-        if await self._fails():
+        if await self._simulate_call():
             return Unavailable("the store is down")
         return self._get(key)
 
     async def read_range(self, prefix: str, after: str = "") -> list[Entry] | Unavailable:
-        """Return the entries under a prefix, by key."""
+        """Return the entries under a prefix, sorted by key."""
         self.reads += 1
-        if await self._fails():
+        if await self._simulate_call():
             return Unavailable("the store is down")
         keys = sorted(k for k in self.entries if k.startswith(prefix) and k > after)
         return [self.entries[key] for key in keys]
@@ -59,7 +59,7 @@
         self.writes += 1
         if len(value) > MAX_VALUE_BYTES:
             return Unavailable(f"a value may have {MAX_VALUE_BYTES} bytes")
-        if await self._fails():
+        if await self._simulate_call():
             return Unavailable("the store is down")
         current = self._get(key)
         outcome: WriteOutcome = Conflict(current)
@@ -67,13 +67,13 @@
             outcome = Written(self._put(key, value))
         if self.faults.lose_answers > 0:
             self.faults.lose_answers -= 1
-            return Unknown("the answer was lost")
+            return Unknown("the response was lost")
         return outcome
 
     async def delete(self, key: str) -> WriteOutcome:
         """Remove a key."""
         self.writes += 1
-        if await self._fails():
+        if await self._simulate_call():
             return Unavailable("the store is down")
         self.entries.pop(key, None)
         self._notify()
@@ -82,7 +82,7 @@
     async def watch(self, key: str, *, revision: int, wait_s: float) -> ReadOutcome:
         """Wait for a change of a key."""
         self.reads += 1
-        if await self._fails():
+        if await self._simulate_call():
             return Unavailable("the store is down")
         with trio.move_on_after(wait_s):
             while self._get(key).revision == revision:
@@ -92,7 +92,7 @@
         return self._get(key)
 
     def set_down(self, down: bool) -> None:
-        """Begin or end an outage; waiting watches fail at once."""
+        """Start or end an outage; pending watches fail at once."""
         self.faults.down = down
         self._notify()
 
@@ -109,7 +109,7 @@
         self._wake.set()
         self._wake = trio.Event()
 
-    async def _fails(self) -> bool:
+    async def _simulate_call(self) -> bool:
         if self.faults.delay_s:
             await trio.sleep(self.faults.delay_s)
         else:
--- a/packages/heronthread-coordination/src/heronthread_coordination/store.py
+++ b/packages/heronthread-coordination/src/heronthread_coordination/store.py
@@ -1,7 +1,7 @@
-"""The platform's key-value service, as the other parts see it.
+"""Interface to the platform's key-value service.
 
-A store has compare-and-swap on revisions and long-poll watches. Its outcomes are values;
-an adapter never raises for a store that is down, slow, or whose answer was lost.
+A store offers compare-and-swap on revisions and long-poll watches. Outcomes are return
+values: an adapter never raises for an outage, a timeout or a lost response.
 """
 
 from __future__ import annotations
@@ -14,8 +14,8 @@
 from .budget import TokenBucket
 
 MAX_VALUE_BYTES = 1_000_000
-SETTLE_ATTEMPTS = 5
-SETTLE_PAUSE_S = 0.2
+MAX_WRITE_ATTEMPTS = 5
+WRITE_RETRY_DELAY_S = 0.2
 
 Outcome = TypeVar("Outcome")
 
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Absent:
-    """The key has no value; its revision counts as 0."""
+    """The key does not exist; its revision is 0."""
 
     key: str
     revision: int = 0
@@ -46,21 +46,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Conflict:
-    """The write had no effect: the key was not at the expected revision."""
+    """The write had no effect: the key has another revision than expected."""
 
     current: Entry | Absent
 
 
 @dataclass(frozen=True, slots=True)
 class Unavailable:
-    """The call had no effect: the store refused it or could not be reached."""
+    """The call had no effect: the store refused it or was unreachable."""
 
     reason: str
 
 
 @dataclass(frozen=True, slots=True)
 class Unknown:
-    """The answer was lost: a write may have taken effect, now or later."""
+    """The response was lost: a write may have taken effect or may yet do so."""
 
     reason: str
 
@@ -70,7 +70,7 @@
 
 
 class Store(Protocol):
-    """What the coordination parts need of a key-value service."""
+    """Key-value service with compare-and-swap and watches."""
 
     async def read(self, key: str) -> ReadOutcome:
         """Return the key's entry."""
@@ -79,10 +79,10 @@
         """Return the entries whose key starts with `prefix` and sorts after `after`."""
 
     async def write(self, key: str, value: bytes, *, expect: int) -> WriteOutcome:
-        """Write if the key's revision is `expect`; 0 means that it must be absent."""
+        """Write if the key's revision is `expect`; 0 means that it must not exist."""
 
     async def delete(self, key: str) -> WriteOutcome:
-        """Remove the key whatever its revision."""
+        """Delete the key at any revision."""
 
     async def watch(self, key: str, *, revision: int, wait_s: float) -> ReadOutcome:
         """Return the entry once its revision differs from `revision`, or after `wait_s`."""
@@ -90,7 +90,7 @@
 
 @dataclass(slots=True)
 class CallCounts:
-    """Store calls made, by kind; a waiting watch counts as one read."""
+    """Numbers of store calls; a watch counts as one read."""
 
     reads: int = 0
     writes: int = 0
@@ -98,10 +98,10 @@
 
 
 class BudgetedStore:
-    """A store whose calls wait for tokens, so that a host keeps to its share of them.
+    """A store with client-side rate limits for reads and writes.
 
-    A call that would have to wait longer than `patience_s` is refused as unavailable.
-    `is_answering` tells whether the last call got an answer, `last_answer_at` when it ended.
+    A call that would wait longer than `patience_s` for its token returns `Unavailable`.
+    `is_answering` is whether the last call got a response, `last_answer_at` when it ended.
     """
 
     def __init__(
@@ -123,35 +123,35 @@
     async def read(self, key: str) -> ReadOutcome:
         """Return the key's entry."""
         if not await self._spend_read():
-            return Unavailable("the host's budget of store reads is spent")
-        return self._noted(await self._store.read(key))
+            return Unavailable("this host exceeds its rate limit of store reads")
+        return self._record_outcome(await self._store.read(key))
 
     async def read_range(self, prefix: str, after: str = "") -> list[Entry] | Unavailable:
         """Return the entries under a prefix."""
         if not await self._spend_read():
-            return Unavailable("the host's budget of store reads is spent")
-        return self._noted(await self._store.read_range(prefix, after))
+            return Unavailable("this host exceeds its rate limit of store reads")
+        return self._record_outcome(await self._store.read_range(prefix, after))
 
     async def write(self, key: str, value: bytes, *, expect: int) -> WriteOutcome:
         """Write by compare-and-swap."""
         if not await self._spend_write():
-            return Unavailable("the host's budget of store writes is spent")
-        return self._noted(await self._store.write(key, value, expect=expect))
+            return Unavailable("this host exceeds its rate limit of store writes")
+        return self._record_outcome(await self._store.write(key, value, expect=expect))
 
     async def delete(self, key: str) -> WriteOutcome:
         """Remove a key."""
         if not await self._spend_write():
-            return Unavailable("the host's budget of store writes is spent")
-        return self._noted(await self._store.delete(key))
+            return Unavailable("this host exceeds its rate limit of store writes")
+        return self._record_outcome(await self._store.delete(key))
 
     async def watch(self, key: str, *, revision: int, wait_s: float) -> ReadOutcome:
         """Wait for a change of a key."""
         if not await self._spend_read():
-            return Unavailable("the host's budget of store reads is spent")
-        return self._noted(await self._store.watch(key, revision=revision, wait_s=wait_s))
+            return Unavailable("this host exceeds its rate limit of store reads")
+        return self._record_outcome(await self._store.watch(key, revision=revision, wait_s=wait_s))
 
-    def _noted(self, outcome: Outcome) -> Outcome:
-        """Remember whether the store answered."""
+    def _record_outcome(self, outcome: Outcome) -> Outcome:
+        """Record whether the store responded, and return the outcome."""
         self.is_answering = not isinstance(outcome, Unavailable | Unknown)
         self.last_answer_at = trio.current_time()
         return outcome
@@ -169,18 +169,18 @@
         return allowed
 
 
-async def write_settled(store: Store, key: str, value: bytes, *, expect: int) -> WriteOutcome:
-    """Write, and settle a lost answer by trying the same compare-and-swap again.
+async def write_idempotent(store: Store, key: str, value: bytes, *, expect: int) -> WriteOutcome:
+    """Write, and retry the same compare-and-swap if the response is lost.
 
-    `value` must be unique to this write, for example by an id inside it: then a conflict
-    with an equal value means that the write took effect. Returns `Unknown` only if the
-    answer is still lost after `SETTLE_ATTEMPTS`.
+    `value` must be unique to this write, for example by an id in it, so that a conflict with
+    an equal value means that the write took effect. Returns `Unknown` only if the responses
+    to all `MAX_WRITE_ATTEMPTS` were lost.
     """
-    outcome: WriteOutcome = Unavailable("not tried")
+    outcome: WriteOutcome = Unavailable("not attempted")
     maybe_written = False
-    for attempt in range(SETTLE_ATTEMPTS):
+    for attempt in range(MAX_WRITE_ATTEMPTS):
         if attempt:
-            await trio.sleep(SETTLE_PAUSE_S * attempt)
+            await trio.sleep(WRITE_RETRY_DELAY_S * attempt)
         outcome = await store.write(key, value, expect=expect)
         if isinstance(outcome, Conflict):
             current = outcome.current
@@ -193,4 +193,4 @@
             maybe_written = True
         elif not maybe_written:
             return outcome
-    return Unknown("the store gave no answer") if maybe_written else outcome
+    return Unknown("the store did not respond") if maybe_written else outcome
--- a/packages/heronthread-coordination/tests/test_configuration.py
+++ b/packages/heronthread-coordination/tests/test_configuration.py
@@ -1,4 +1,4 @@
-"""Generations: atomic, racing, never reverting."""
+"""Tests of configuration generations: atomicity, concurrent applies, snapshots, deltas."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from hypothesis import strategies as st
 
 
-async def test_apply_and_follow(autojump_clock):
+async def test_applied_file_is_loaded_by_another_host(autojump_clock):
     store = MemoryStore()
     log, mine, other = ConfigurationLog(store), Configuration(), Configuration()
     assert await log.apply(mine, {"a": b"1"}, "x", "ana") == Applied(1)
@@ -24,7 +24,7 @@
     assert other.sections == {"a": b"1"}
 
 
-async def test_of_two_racing_operators_one_wins(autojump_clock):
+async def test_one_of_two_concurrent_applies_wins(autojump_clock):
     store = MemoryStore()
     log, first, second = ConfigurationLog(store), Configuration(), Configuration()
     assert await log.apply(first, {"a": b"1"}, "x", "ana") == Applied(1)
@@ -32,7 +32,7 @@
     assert second.sections == {"a": b"1"}
 
 
-async def test_lost_answer_is_settled_by_the_apply_id(autojump_clock):
+async def test_apply_is_idempotent_after_a_lost_response(autojump_clock):
     store = MemoryStore()
     log, mine = ConfigurationLog(store), Configuration()
     store.faults.lose_answers = 1
@@ -41,8 +41,8 @@
     assert mine.generation == 1
 
 
-async def test_new_host_reads_snapshot_and_tail(autojump_clock, monkeypatch):
-    monkeypatch.setattr(configuration, "SNAPSHOT_EVERY", 4)
+async def test_new_host_reads_snapshot_and_later_entries(autojump_clock, monkeypatch):
+    monkeypatch.setattr(configuration, "SNAPSHOT_INTERVAL", 4)
     store = MemoryStore()
     log, mine = ConfigurationLog(store), Configuration()
     for number in range(10):
@@ -55,7 +55,7 @@
     assert new.applies["x3"] == 4
 
 
-async def test_watch_sees_the_next_generation(autojump_clock):
+async def test_waiting_host_adopts_the_next_generation(autojump_clock):
     store = MemoryStore()
     log, mine, other = ConfigurationLog(store), Configuration(), Configuration()
     await log.apply(mine, {"a": b"1"}, "x", "ana")
@@ -72,7 +72,7 @@
 
 @settings(max_examples=50, deadline=None, derandomize=True)
 @given(st.lists(section_maps, min_size=1, max_size=6), st.integers(0, 5))
-def test_a_delta_from_any_generation_gives_the_same(versions, behind):
+def test_delta_from_any_generation_yields_the_same_sections(versions, behind):
     ahead, late = Configuration(), Configuration()
     for number, sections in enumerate(versions):
         change = configuration.make_change(ahead, sections, f"x{number}", "ana")
--- a/packages/heronthread-coordination/tests/test_lease.py
+++ b/packages/heronthread-coordination/tests/test_lease.py
@@ -1,4 +1,4 @@
-"""Ownership under kills, pauses, outages and lost answers, on a mock clock."""
+"""Tests of cell ownership under crashes, outages and lost responses, on a mock clock."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
     return CellLease(store, "c", host, f"{host}:1", **more)
 
 
-async def test_takeover_after_a_kill_within_ten_seconds(autojump_clock):
+async def test_takeover_within_seven_seconds_of_a_crash(autojump_clock):
     store = MemoryStore()
     first, second = make_lease(store, "a"), make_lease(store, "b", delay_s=0.4)
     async with trio.open_nursery() as nursery:
@@ -34,7 +34,7 @@
         nursery.cancel_scope.cancel()
 
 
-async def test_never_two_owners_on_the_clock(autojump_clock):
+async def test_there_are_never_two_owners(autojump_clock):
     store = MemoryStore()
     leases = [make_lease(store, name, delay_s=0.4 * i) for i, name in enumerate("abc")]
     async with trio.open_nursery() as nursery:
@@ -49,7 +49,7 @@
         nursery.cancel_scope.cancel()
 
 
-async def test_outage_alone_deposes_nobody(autojump_clock):
+async def test_store_outage_does_not_depose_the_owner(autojump_clock):
     store = MemoryStore()
     first, second = make_lease(store, "a"), make_lease(store, "b", delay_s=0.4)
     first.is_store_down_for_all = True
@@ -67,7 +67,7 @@
         nursery.cancel_scope.cancel()
 
 
-async def test_handover_is_faster_than_a_lapse(autojump_clock):
+async def test_released_lease_is_acquired_before_it_expires(autojump_clock):
     store = MemoryStore()
     first, second = make_lease(store, "a"), make_lease(store, "b")
     async with trio.open_nursery() as nursery:
@@ -83,7 +83,7 @@
         nursery.cancel_scope.cancel()
 
 
-async def test_deposed_owner_sees_it(autojump_clock):
+async def test_owner_observes_a_higher_epoch(autojump_clock):
     store = MemoryStore()
     lease = make_lease(store, "a")
     async with trio.open_nursery() as nursery:
@@ -98,13 +98,8 @@
         nursery.cancel_scope.cancel()
 
 
-async def test_a_renewal_on_its_way_does_not_outlive_the_hand_over(autojump_clock):
-    """A host that had handed its cell over went on to renew it, so nobody else ever owned it.
-
-    Its renewal was under way as it released the cell: the renewal took effect, the release found
-    another revision, and the answer made the host an owner again. An example of the library hung
-    that way beside other processes.
-    """
+async def test_pending_renewal_does_not_undo_the_release(autojump_clock):
+    """Guards against a renewal in flight during the release making the host owner again."""
     store = MemoryStore()
     first, second = make_lease(store, "a", duration_s=1.0), make_lease(store, "b", duration_s=1.0)
     async with trio.open_nursery() as nursery:
--- a/packages/heronthread-coordination/tests/test_parts.py
+++ b/packages/heronthread-coordination/tests/test_parts.py
@@ -1,4 +1,4 @@
-"""Budgets, breakers, limits, membership, drain, answers and histograms."""
+"""Tests of rate limits, circuit breakers, limits, membership, drain, answers and histograms."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 from heronthread_coordination import (
     Admitted,
     AnswerCollector,
-    Breaker,
     BudgetedStore,
+    CircuitBreaker,
     CustomerLimits,
     Drain,
     Draining,
@@ -29,7 +29,7 @@
 )
 
 
-async def test_store_calls_stay_within_the_budget(autojump_clock):
+async def test_store_calls_keep_to_the_rate_limit(autojump_clock):
     store = BudgetedStore(MemoryStore(), reads_per_s=10, writes_per_s=1, patience_s=1)
     outcomes = [await store.write(f"k{n}", b"", expect=0) for n in range(3)]
     started = trio.current_time()
@@ -39,14 +39,14 @@
     assert not any(isinstance(outcome, Unavailable) for outcome in outcomes)
 
 
-async def test_calls_beyond_patience_are_refused(autojump_clock):
+async def test_calls_that_would_wait_too_long_are_refused(autojump_clock):
     store = BudgetedStore(MemoryStore(), writes_per_s=0.1, patience_s=1)
     outcomes = [await store.write(f"k{n}", b"", expect=0) for n in range(4)]
     assert isinstance(outcomes[-1], Unavailable)
     assert store.counts.refused
 
 
-def test_retries_stay_near_a_tenth_of_calls():
+def test_retries_stay_within_the_budget():
     budget = RetryBudget()
     for _ in range(1000):
         budget.note_call()
@@ -54,8 +54,8 @@
     assert budget.retries <= 0.1 * budget.calls + budget.reserve
 
 
-async def test_breaker_lets_one_trial_through(autojump_clock):
-    breaker = Breaker(failures=2, rest_s=5)
+async def test_half_open_breaker_allows_one_trial_call(autojump_clock):
+    breaker = CircuitBreaker(failures=2, open_s=5)
     breaker.note(False)
     breaker.note(True, elapsed_s=10)
     assert not breaker.try_enter()
@@ -76,7 +76,7 @@
     assert isinstance(limits.enter("a"), Admitted)
 
 
-async def test_refused_connection_outweighs_the_list(autojump_clock):
+async def test_refused_connection_overrides_the_host_list(autojump_clock):
     membership = Membership()
     membership.update(1, [Member("a", "1"), Member("b", "2")])
     membership.note_refused("a")
@@ -85,7 +85,7 @@
     assert membership.is_usable("a")
 
 
-async def test_leaving_stands_until_the_list_drops_the_member(autojump_clock):
+async def test_member_is_leaving_until_the_host_list_drops_it(autojump_clock):
     membership = Membership()
     membership.update(2, [Member("a", "1"), Member("b", "2")])
     assert membership.note_leaving({"a"})
@@ -123,7 +123,7 @@
     assert done == [True]
 
 
-def test_answers_are_whole_in_order_and_ones_own():
+def test_answers_are_joined_in_order_and_invalid_ones_dropped():
     collector = AnswerCollector()
     collector.open("x", 2)
     assert collector.add(make_answer("y", 0, "other")) is Drop.FOREIGN
@@ -146,7 +146,7 @@
 
 
 @pytest.mark.parametrize(
-    ("heard", "has_peers", "is_down"),
+    ("peer_reports", "has_peers", "is_down"),
     [
         ([False, False], True, True),
         ([False, True], True, False),
@@ -155,5 +155,5 @@
         ([], False, True),
     ],
 )
-def test_a_store_is_down_for_all_only_by_the_word_of_peers(heard, has_peers, is_down):
-    assert is_store_down_for_all(heard, has_peers=has_peers) is is_down
+def test_store_is_down_for_all_only_if_every_peer_reports_so(peer_reports, has_peers, is_down):
+    assert is_store_down_for_all(peer_reports, has_peers=has_peers) is is_down
