--- a/packages/heronthread-coordination/src/heronthread_coordination/budget.py
+++ b/packages/heronthread-coordination/src/heronthread_coordination/budget.py
@@ -17,12 +17,12 @@
         self._tokens = self.burst
         self._updated: float | None = None
 
-    async def take(self, count: float = 1.0, *, patience_s: float) -> bool:
-        """Take tokens; return False, and take none, if that would wait longer than `patience_s`."""
+    async def take(self, count: float = 1.0, *, max_wait_s: float) -> bool:
+        """Take tokens; return False, and take none, if that would wait longer than `max_wait_s`."""
         self._refill()
         self._tokens -= count
         wait_s = -self._tokens / self.rate
-        if wait_s > patience_s:
+        if wait_s > max_wait_s:
             self._tokens += count
             return False
         if wait_s > 0:
--- a/packages/heronthread-coordination/src/heronthread_coordination/store.py
+++ b/packages/heronthread-coordination/src/heronthread_coordination/store.py
@@ -100,7 +100,7 @@
 class BudgetedStore:
     """A store with client-side rate limits for reads and writes.
 
-    A call that would wait longer than `patience_s` for its token returns `Unavailable`.
+    A call that would wait longer than `max_wait_s` for its token returns `Unavailable`.
     `is_answering` is whether the last call got a response, `last_answer_at` when it ended.
     """
 
@@ -110,10 +110,10 @@
         *,
         reads_per_s: float = 50.0,
         writes_per_s: float = 10.0,
-        patience_s: float = 5.0,
+        max_wait_s: float = 5.0,
     ) -> None:
         self._store = store
-        self._patience_s = patience_s
+        self._max_wait_s = max_wait_s
         self._reads = TokenBucket(reads_per_s, burst=2 * reads_per_s)
         self._writes = TokenBucket(writes_per_s, burst=2 * writes_per_s)
         self.counts = CallCounts()
@@ -157,13 +157,13 @@
         return outcome
 
     async def _spend_read(self) -> bool:
-        allowed = await self._reads.take(patience_s=self._patience_s)
+        allowed = await self._reads.take(max_wait_s=self._max_wait_s)
         self.counts.reads += allowed
         self.counts.refused += not allowed
         return allowed
 
     async def _spend_write(self) -> bool:
-        allowed = await self._writes.take(patience_s=self._patience_s)
+        allowed = await self._writes.take(max_wait_s=self._max_wait_s)
         self.counts.writes += allowed
         self.counts.refused += not allowed
         return allowed
--- a/packages/heronthread-coordination/tests/test_parts.py
+++ b/packages/heronthread-coordination/tests/test_parts.py
@@ -30,7 +30,7 @@
 
 
 async def test_store_calls_keep_to_the_rate_limit(autojump_clock):
-    store = BudgetedStore(MemoryStore(), reads_per_s=10, writes_per_s=1, patience_s=1)
+    store = BudgetedStore(MemoryStore(), reads_per_s=10, writes_per_s=1, max_wait_s=1)
     outcomes = [await store.write(f"k{n}", b"", expect=0) for n in range(3)]
     started = trio.current_time()
     for _ in range(100):
@@ -40,7 +40,7 @@
 
 
 async def test_calls_that_would_wait_too_long_are_refused(autojump_clock):
-    store = BudgetedStore(MemoryStore(), writes_per_s=0.1, patience_s=1)
+    store = BudgetedStore(MemoryStore(), writes_per_s=0.1, max_wait_s=1)
     outcomes = [await store.write(f"k{n}", b"", expect=0) for n in range(4)]
     assert isinstance(outcomes[-1], Unavailable)
     assert store.counts.refused
