--- a/packages/heronthread-dispatch/src/heronthread_dispatch/fitting.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/fitting.py
@@ -62,7 +62,7 @@
         return trio.current_time() - told_at < KINDS_S and not find_misfit(kinds, spec, pool)
 
     async def _ask_owner(self, spec: JobSpec) -> Fit | None:
-        presence = self._host.owner_presence
+        presence = self._host.known_owner
         if presence is None or trio.current_time() < self._silent_until:
             return None
         body = encode_record(JobRecord(replace(spec, payload="")))
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/host.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/host.py
@@ -1,4 +1,4 @@
-"""One host: it answers callers, follows the configuration and may own the cell."""
+"""A host process: it serves peers, follows the configuration and may own the cell."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 from .events import log_event
 from .follow import Follower
 from .host_state import HostParts, HostSettings, HostState
-from .intake import Doubt, NoSuchJob, NotTaken, Taken
+from .intake import NoSuchJob, NotTaken, PendingWrite, Taken
 from .keystore import Gone, Item, Listing
 from .loop import LoopWatch
 from .model import JobSpec
@@ -53,47 +53,50 @@
 from .wire.ttypes import Frame
 
 CONTEND_S = 0.05
-OWNED_S = 0.5
-"""Between looks while another host owns the cell; that it is free is news that wakes at once."""
-SUCCESSION_S = 0.5
-HANDOVER_PAUSE_S = 10.0
-"""Between two handovers to stronger hosts, so that a host that can't own what it is given does
-not get it over and over."""
+OWNED_POLL_S = 0.5
+"""Polling interval while another host owns the cell; a free cell wakes the loop at once."""
+SUCCESSION_CHECK_S = 0.5
+MIN_HANDOVER_INTERVAL_S = 10.0
+"""Least time between handovers, so that a stronger host that can't take over doesn't make this
+host give up the cell repeatedly."""
 EVACUATE_S = SETTLE_S + CALL_S
-"""How long a host waits for the owner's answer to an evacuation that it passes on."""
-OWNERS_OPERATIONS = (Operation.CELL_OVERVIEW, Operation.JOB_STORY, Operation.EVACUATE)
-"""What the owner alone answers, and others pass on to it."""
+"""Timeout of an evacuation request that is forwarded to the owner."""
+OWNER_ONLY_OPERATIONS = (Operation.CELL_OVERVIEW, Operation.JOB_STORY, Operation.EVACUATE)
+"""Operations that only the owner answers; other hosts forward them to it."""
 CELL_PREFIX = "cell/0/"
 OWNER_KEY = "cell/0/owner"
 HOST_PREFIX = "cell/0/host/"
 
 
 class Host(HostState):
-    """The tasks of one host; `run` lasts until it is cancelled."""
+    """Runs the tasks of one host until it is cancelled."""
 
     def __init__(self, settings: HostSettings, parts: HostParts) -> None:
         super().__init__(settings, parts)
         self.is_draining = False
         self.loop = LoopWatch(self.statistics)
-        self._owner_gone_at = 0.0
-        self._owner_gone = trio.Event()
+        self._owner_lost_at = 0.0
+        self._owner_lost = trio.Event()
         self._handed_over_at = float("-inf")
-        self._owner_item: Item | None = None
+        self._owner_key_item: Item | None = None
         self.news = NewsExchange(self)
         self.requests = Requests(self, self.news)
         self.relay = StoreRelay(self.ask_peer, self.news.find_store_peer)
 
     @property
     def is_ready(self) -> bool:
-        """Whether callers may be sent here."""
+        """Whether this host accepts traffic from callers."""
         return self.configuration.is_known and not self.is_draining
 
     async def run(self) -> None:
         """Run until cancelled."""
         configuration = Follower(
-            self.store, self.parts.configuration.prefix, self._take_wishes, self._take_wish
+            self.store,
+            self.parts.configuration.prefix,
+            self._apply_operator_listing,
+            self._apply_operator_change,
         )
-        cell = Follower(self.store, CELL_PREFIX, self._take_cell, self._take_cell_key)
+        cell = Follower(self.store, CELL_PREFIX, self._apply_cell_listing, self._apply_cell_change)
         async with trio.open_nursery() as nursery:
             self._nursery = nursery
             nursery.start_soon(configuration.run)
@@ -105,7 +108,7 @@
             nursery.start_soon(self.news.watch_changes)
 
     async def stop(self) -> None:
-        """Begin a planned stop: hand the cell over; requests are still answered."""
+        """Begin a graceful shutdown: release the cell, but still answer requests."""
         self.is_draining = True
         self.tenure.is_stopping = True
         if self.owner is not None:
@@ -115,35 +118,35 @@
 
     # Configuration and membership
 
-    def _take_wishes(self, listing: Listing) -> None:
-        """Take in what the operators have written: the configuration, and evacuations."""
+    def _apply_operator_listing(self, listing: Listing) -> None:
+        """Apply a listing of the operators' keys: the configuration and evacuation requests."""
         operators = self.parts.configuration.evacuations
         self.evacuations.take_listing(listing, (operators,) if operators else ())
         for item in listing.items:
-            self._take_version(item)
+            self._apply_configuration(item)
 
-    def _take_wish(self, event: Item | Gone) -> None:
+    def _apply_operator_change(self, event: Item | Gone) -> None:
         self.evacuations.take(event)
-        self._take_version(event)
+        self._apply_configuration(event)
 
-    def _take_version(self, event: Item | Gone) -> None:
+    def _apply_configuration(self, event: Item | Gone) -> None:
         if isinstance(event, Item) and event.key == self.parts.configuration.key:
             self.configuration.offer(event.value, "store")
 
-    def _take_cell(self, listing: Listing) -> None:
+    def _apply_cell_listing(self, listing: Listing) -> None:
         keys = {item.key for item in listing.items}
         self.members = {
             name: member for name, member in self.members.items() if HOST_PREFIX + name in keys
         }
         self.evacuations.take_listing(listing, (COMMANDED_PREFIX,))
         if OWNER_KEY not in keys:
-            self._note_owner(None)
+            self._update_owner(None)
         for item in listing.items:
-            self._take_cell_key(item)
+            self._apply_cell_change(item)
 
-    def _take_cell_key(self, event: Item | Gone) -> None:
+    def _apply_cell_change(self, event: Item | Gone) -> None:
         if event.key == OWNER_KEY:
-            self._note_owner(event if isinstance(event, Item) else None)
+            self._update_owner(event if isinstance(event, Item) else None)
         elif event.key.startswith(COMMANDED_PREFIX):
             self.evacuations.take(event)
         elif event.key.startswith(HOST_PREFIX):
@@ -151,61 +154,61 @@
             if isinstance(event, Gone):
                 self.members.pop(name, None)
             else:
-                self._note_member(name, event)
+                self._update_member(name, event)
 
-    def _note_member(self, name: str, item: Item) -> None:
+    def _update_member(self, name: str, item: Item) -> None:
         presence = Presence.decode(item.value)
         if isinstance(presence, Unreadable):
             log_event("record.unreadable", key=item.key, reason=presence.reason)
             return
         self.members[name] = presence
 
-    def _note_owner(self, item: Item | None) -> None:
+    def _update_owner(self, item: Item | None) -> None:
         presence = Presence.decode(item.value) if item is not None else None
         if isinstance(presence, Unreadable):
             log_event("record.unreadable", key=OWNER_KEY, reason=presence.reason)
             presence = None
-        if presence is None and self.owner_presence is not None:
-            self._owner_gone_at = trio.current_time()
-            self._owner_gone.set()
-            self._owner_gone = trio.Event()
-        if presence != self.owner_presence:
+        if presence is None and self.known_owner is not None:
+            self._owner_lost_at = trio.current_time()
+            self._owner_lost.set()
+            self._owner_lost = trio.Event()
+        if presence != self.known_owner:
             log_event("owner.seen", owner=presence.host if presence else None)
-        self.owner_presence = presence
-        self._owner_item = item
+        self.known_owner = presence
+        self._owner_key_item = item
 
     # Ownership
 
     async def _contend(self) -> None:
         while True:
-            owner = self.owner_presence
+            owner = self.known_owner
             is_others = owner is not None and owner.host != self.settings.name
-            pause = OWNED_S if is_others else CONTEND_S
+            pause = OWNED_POLL_S if is_others else CONTEND_S
             with trio.move_on_after(pause):
-                await self._owner_gone.wait()
+                await self._owner_lost.wait()
             if not self._may_contend():
                 continue
-            held = self._owner_item
+            held = self._owner_key_item
             if held is None:
-                place = rank(self.tenure.presence, self.members, self._owner_gone_at)
+                place = rank(self.tenure.presence, self.members, self._owner_lost_at)
                 await trio.sleep(RANK_DELAY_S * place)
-                if self.owner_presence is not None:
+                if self.known_owner is not None:
                     continue
             term = await self.tenure.try_own(held)
             if term is None:
                 await trio.sleep(CONTEND_S * 4)
                 continue
-            self.owner_presence = self.tenure.presence
+            self.known_owner = self.tenure.presence
             self.owner = Owner(self._make_owner_parts(), term)
             await self._own(self.owner)
             self.owner = None
 
     def _may_contend(self) -> bool:
-        """Whether the cell may be taken: nobody owns it, or a life of this host that is over."""
+        """Whether to try for ownership: the cell is free, or held by a past run of this host."""
         if self.is_draining or not self.configuration.is_known or not self.tenure.is_valid:
             return False
-        held = self._owner_item
-        return self.owner_presence is None if held is None else self.tenure.is_own(held)
+        held = self._owner_key_item
+        return self.known_owner is None if held is None else self.tenure.is_own(held)
 
     def _make_owner_parts(self) -> OwnerParts:
         return OwnerParts(
@@ -215,7 +218,7 @@
             self.settings.timing,
             self.parts.wall_clock,
             lambda: self.configuration.state,
-            self._may_order,
+            self._may_send_orders,
             self.statistics,
             self.parts.approver,
             self.settings.policy,
@@ -235,23 +238,23 @@
             nursery.cancel_scope.cancel()
         if not self.is_draining:
             await self.tenure.give_up()
-        if self.owner_presence == self.tenure.presence:
-            self.owner_presence = None
+        if self.known_owner == self.tenure.presence:
+            self.known_owner = None
 
     async def _guard(self, owner: Owner) -> None:
-        """Depose the owner here once it may not give orders any more."""
+        """Depose the local owner once it may no longer send orders."""
         while True:
             await trio.sleep(0.05)
-            if self.tenure.lease is None or not self._may_order():
+            if self.tenure.lease is None or not self._may_send_orders():
                 owner.depose()
                 return
 
     async def _hand_over_to_stronger(self, owner: Owner) -> None:
-        """End the term for a clearly stronger host, when idle or once this one is behind."""
+        """End the term if a clearly stronger host exists and this one is idle or overloaded."""
         while True:
-            await trio.sleep(SUCCESSION_S)
+            await trio.sleep(SUCCESSION_CHECK_S)
             stronger = find_stronger(self.tenure.presence, self.members)
-            recent = trio.current_time() - self._handed_over_at < HANDOVER_PAUSE_S
+            recent = trio.current_time() - self._handed_over_at < MIN_HANDOVER_INTERVAL_S
             if stronger is None or recent or not owner.is_settled:
                 continue
             if owner.cell.active and not self.loop.is_behind:
@@ -267,11 +270,11 @@
             owner.depose()
             return
 
-    def _may_order(self) -> bool:
+    def _may_send_orders(self) -> bool:
         return self.tenure.is_valid or self.news.is_outage_agreed()
 
     def render_statistics(self) -> str:
-        """Return this host's figures as text."""
+        """Return this host's metrics as text."""
         gauges: dict[str, float] = {
             "configuration_version": self.configuration.state.version,
             "hosts": len(self.members),
@@ -294,10 +297,10 @@
             gauges[f"store_{call}_failures"] = count
         return self.statistics.render(gauges)
 
-    # Operations asked by peers
+    # Requests from peers
 
     async def handle(self, frame: Frame) -> Frame:
-        """Answer one frame of a peer."""
+        """Answer one request frame from a peer."""
         forward = frame.forward
         if forward is None:
             return make_reply(NOT_HERE, {})
@@ -327,25 +330,25 @@
         if operation == Operation.RELAY_WRITE:
             return OK, await write_for_peer(self.store, body)
         if operation == Operation.JOB_FIT:
-            return self._check_fit(decode_record(body).spec)
-        if operation in OWNERS_OPERATIONS:
-            return await self._handle_question(operation, body)
+            return self._check_placement(decode_record(body).spec)
+        if operation in OWNER_ONLY_OPERATIONS:
+            return await self._handle_owner_query(operation, body)
         return await self._handle_intake(operation, body)
 
-    def _check_fit(self, spec: JobSpec) -> tuple[int, dict[str, Any]]:
-        """Tell whether a job can ever be served; only an owner can, and while it is one."""
+    def _check_placement(self, spec: JobSpec) -> tuple[int, dict[str, Any]]:
+        """Return whether a job can ever be placed; only the owner, with a valid lease, can tell."""
         if self.owner is None or not self.owner.is_ready or not self.tenure.is_valid:
             return NOT_HERE, {}
         reason, kinds = self.owner.check_fit(spec)
         return OK, {"reason": reason, "kinds": encode_kinds(kinds)}
 
-    async def _handle_question(
+    async def _handle_owner_query(
         self, operation: int, body: dict[str, Any]
     ) -> tuple[int, dict[str, Any]]:
-        """Answer an operator, or pass what is asked on to the owner."""
+        """Answer an operator's query, or forward it to the owner."""
         owner = self.owner
         if owner is None or not owner.is_ready:
-            presence = self.owner_presence
+            presence = self.known_owner
             if presence is None or presence.host == self.settings.name or body.get("passed"):
                 return NOT_TAKEN, {"reason": "no owner is known"}
             asked = {**body, "passed": True}
@@ -369,9 +372,11 @@
         self, operation: int, body: dict[str, Any]
     ) -> tuple[int, dict[str, Any]]:
         if operation == Operation.ACCEPT_JOB:
-            outcome = await self.requests.accept_here(decode_record(body), Doubt())
+            outcome = await self.requests.accept_at_store(decode_record(body), PendingWrite())
         elif operation == Operation.CANCEL_JOB:
-            outcome = await self.requests.cancel_here(body["job"], body["tenant"], Doubt())
+            outcome = await self.requests.cancel_at_store(
+                body["job"], body["tenant"], PendingWrite()
+            )
         else:
             return NOT_HERE, {}
         if isinstance(outcome, Taken):
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/host_state.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/host_state.py
@@ -1,4 +1,4 @@
-"""What the tasks of one host share: its adapters, and what it knows of its cell."""
+"""State shared by the tasks of one host: its adapters, and what it knows of its cell."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HostSettings:
-    """What a host is told of itself; `seeds` are peer addresses that may be dead."""
+    """A host's settings; `seeds` are peer addresses, some of which may be dead."""
 
     name: str
     peer_address: str
@@ -55,7 +55,7 @@
 
 
 class HostState:
-    """One host's adapters, its lease, the members it knows, and the owner here or elsewhere."""
+    """Holds one host's adapters, its lease, the known members, and the local or remote owner."""
 
     def __init__(self, settings: HostSettings, parts: HostParts) -> None:
         self.settings = settings
@@ -67,30 +67,30 @@
         self.tenure = Tenure(self.store, presence)
         self.members: dict[str, Presence] = {}
         self.owner: Owner | None = None
-        self.owner_presence: Presence | None = None
+        self.known_owner: Presence | None = None
         self.statistics = Statistics()
         self.stands = KnownStands()
         self._malformed = RepeatedEvents()
         self._nursery: trio.Nursery | None = None
 
     def spawn(self, function: Callable[..., Awaitable[object]], *arguments: Any) -> None:
-        """Run something beside the other tasks of this host."""
-        assert self._nursery is not None, "the host runs"
+        """Start a background task of this host."""
+        assert self._nursery is not None, "the host is not running"
         self._nursery.start_soon(function, *arguments)
 
     async def ask_peer(
         self, address: str, operation: int, body: dict[str, Any], timeout_s: float = CALL_S
     ) -> PeerReply | PeerUnreachable:
-        """Ask a peer for one operation."""
+        """Call one operation of a peer."""
         reply = await call_peer(self.parts.peers, address, operation, body, timeout_s)
         if isinstance(reply, MalformedReply):
             self.note_malformed(operation, address, reply.reason)
         return reply
 
     def note_malformed(self, operation: int, address: str, error: str) -> None:
-        """Log that what a peer sent can't be read; the same again only now and then.
+        """Log a malformed message from a peer, rate-limited by operation and address.
 
-        A broken peer sends it with every call, and its lines would push all others out.
+        A broken peer sends one with every call and would flood the log.
         """
         key = (operation, address)
         self._malformed.log(
@@ -104,7 +104,7 @@
         address: str,
         decode: Callable[[dict[str, Any]], Read],
     ) -> Read | None:
-        """Read a peer's reply; None if it is not as agreed."""
+        """Decode a peer's reply; None if it is malformed."""
         try:
             return decode(reply.body)
         except MALFORMED as error:
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/news.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/news.py
@@ -59,7 +59,7 @@
 
     def make(self) -> News:
         """Return what this host tells of itself."""
-        owner = self._host.owner_presence
+        owner = self._host.known_owner
         term = self._host.owner.cell.term.number if self._host.owner else 0
         return News(
             self._host.settings.name,
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/requests.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/requests.py
@@ -1,4 +1,4 @@
-"""Callers' requests at one host: taking in, cancelling, and telling states and counts."""
+"""Callers' requests to one host: accepting and cancelling jobs, job status, queue counts."""
 
 from __future__ import annotations
 
@@ -13,17 +13,17 @@
 from .fitting import Fitting
 from .host_state import HostState
 from .intake import (
-    Doubt,
     IntakeOutcome,
+    IntakeRoute,
     NoSuchJob,
     NotTaken,
+    PendingWrite,
     Taken,
     Unsettled,
-    Way,
-    accept_after_look,
+    accept_after_read,
     accept_job,
     cancel_job,
-    insist,
+    try_routes,
 )
 from .keystore import Item, Missing
 from .news import NewsExchange
@@ -51,32 +51,32 @@
 from .sizes import SEEN_S
 from .stands import JobStand, Unowned
 
-ACCEPT_BUDGET_S = 2.2
+MAX_ACCEPT_BUDGET_S = 2.2
 PEER_INTAKE_S = 1.2
-PEERS_ASKED = 2
+MAX_PEERS_TRIED = 2
 QUERY_BUDGET_S = 0.8
-MAX_FINAL = 20_000
-NOT_TOLD = "it does not know the job, or does not decide yet"
+MAX_CACHED_FINAL = 20_000
+NOT_KNOWN_TO_OWNER = "it does not know the job, or does not decide yet"
 
 
 class Requests:
-    """What one host does for callers, with its peers' help where it lacks the store."""
+    """Serves callers at one host, through peers where this host can't reach the store."""
 
     def __init__(self, host: HostState, news: NewsExchange) -> None:
         self._host = host
         self._news = news
         self._fitting = Fitting(host)
-        self._final: dict[str, JobView] = {}
+        self._final_views: dict[str, JobView] = {}
 
     async def accept(self, record: JobRecord, budget_s: float) -> IntakeOutcome:
-        """Take a job in."""
+        """Accept a job."""
         body = encode_record(record)
         started = trio.current_time()
-        outcome: IntakeOutcome | None = await self._refuse_hopeless(record)
+        outcome: IntakeOutcome | None = await self._reject_unplaceable(record)
         if outcome is None:
             left_s = budget_s - (trio.current_time() - started)
             outcome = await self._intake(
-                partial(self.accept_here, record), Operation.ACCEPT_JOB, body, left_s
+                partial(self.accept_at_store, record), Operation.ACCEPT_JOB, body, left_s
             )
         elapsed = trio.current_time() - started
         self._host.statistics.count("accepts", type(outcome).__name__)
@@ -96,10 +96,10 @@
         )
         return outcome
 
-    async def _refuse_hopeless(self, record: JobRecord) -> NotTaken | None:
-        """Refuse a job that can never be served, unless it was taken in before.
+    async def _reject_unplaceable(self, record: JobRecord) -> NotTaken | None:
+        """Reject a job that can never be placed, unless it was accepted before.
 
-        A job that is there stays one job: its caller may only have lost the answer.
+        A caller that lost the first answer may submit an accepted job again.
         """
         store = self._host.store
         if not store.is_answering:
@@ -112,23 +112,27 @@
                 return NotTaken(reason, SEEN_S)
         return None
 
-    async def accept_here(self, record: JobRecord, doubt: Doubt) -> IntakeOutcome:
-        """Take a job in at the store, as this host reaches it."""
+    async def accept_at_store(
+        self, record: JobRecord, pending_write: PendingWrite
+    ) -> IntakeOutcome:
+        """Accept a job by writing to the store from this host."""
         store = self._host.store
         if store.is_answering:
-            return await accept_job(store, record, doubt)
-        return await accept_after_look(store, record, doubt, store.patience_s)
+            return await accept_job(store, record, pending_write)
+        return await accept_after_read(store, record, pending_write, store.patience_s)
 
-    async def cancel_here(self, job_id: str, tenant: str, doubt: Doubt) -> IntakeOutcome:
-        """Cancel a job at the store, as this host reaches it."""
+    async def cancel_at_store(
+        self, job_id: str, tenant: str, pending_write: PendingWrite
+    ) -> IntakeOutcome:
+        """Cancel a job by writing to the store from this host."""
         store = self._host.store
-        look_s = float("inf") if store.is_answering else store.patience_s
-        return await cancel_job(store, job_id, tenant, doubt, look_s)
+        read_timeout_s = float("inf") if store.is_answering else store.patience_s
+        return await cancel_job(store, job_id, tenant, pending_write, read_timeout_s)
 
     async def cancel(self, job_id: str, tenant: str, budget_s: float) -> IntakeOutcome:
         """Cancel a job."""
         outcome = await self._intake(
-            partial(self.cancel_here, job_id, tenant),
+            partial(self.cancel_at_store, job_id, tenant),
             Operation.CANCEL_JOB,
             {"job": job_id, "tenant": tenant},
             budget_s,
@@ -138,35 +142,37 @@
         return outcome
 
     async def _intake(
-        self, local: Way, operation: int, body: dict[str, Any], budget_s: float
+        self, local: IntakeRoute, operation: int, body: dict[str, Any], budget_s: float
     ) -> IntakeOutcome:
-        """Try the store, and peers that reach it if this host does not."""
-        ways = self._list_ways(local, operation, body)
+        """Try the store, and peers that reach it if this host can't."""
+        routes = self._list_routes(local, operation, body)
         store = self._host.store
-        budget_s = min(budget_s, ACCEPT_BUDGET_S)
-        outcome = await insist(ways, budget_s, lambda: store.patience_s)
+        budget_s = min(budget_s, MAX_ACCEPT_BUDGET_S)
+        outcome = await try_routes(routes, budget_s, lambda: store.patience_s)
         if isinstance(outcome, Taken):
-            self._tell_owner(outcome.record)
+            self._notify_owner(outcome.record)
         return outcome
 
-    def _list_ways(self, local: Way, operation: int, body: dict[str, Any]) -> Iterator[Way]:
-        """Return the ways in turn, each chosen by what is known when its turn comes."""
+    def _list_routes(
+        self, local: IntakeRoute, operation: int, body: dict[str, Any]
+    ) -> Iterator[IntakeRoute]:
+        """Yield the routes to try; each is chosen only when it is needed."""
         if self._host.store.is_answering:
             yield local
         asked: set[str] = set()
-        for _ in range(PEERS_ASKED):
+        for _ in range(MAX_PEERS_TRIED):
             address = self._news.find_store_peer(asked)
             if address is not None:
                 asked.add(address)
-                yield partial(self._intake_by, address, operation, body)
+                yield partial(self._intake_at_peer, address, operation, body)
         yield local
 
-    async def _intake_by(
-        self, address: str, operation: int, body: dict[str, Any], doubt: Doubt
+    async def _intake_at_peer(
+        self, address: str, operation: int, body: dict[str, Any], pending_write: PendingWrite
     ) -> IntakeOutcome:
-        doubt.is_open = True
+        pending_write.is_open = True
         reply = await self._host.ask_peer(address, operation, body, PEER_INTAKE_S)
-        doubt.is_open = False
+        pending_write.is_open = False
         if isinstance(reply, PeerUnreachable):
             return NotTaken(reply.reason) if reply.refused else Unsettled(reply.reason)
         if reply.status == OK:
@@ -179,42 +185,42 @@
         reason = str(reply.body.get("reason", ""))
         return NotTaken(reason) if reply.status == NOT_TAKEN else Unsettled(reason)
 
-    def _tell_owner(self, record: JobRecord) -> None:
-        """Let the owner know at once; its watch tells it otherwise."""
+    def _notify_owner(self, record: JobRecord) -> None:
+        """Send a new job to the owner at once; its watch would deliver it later."""
         if self._host.owner is not None:
-            # Without its lease an owner takes in no new job: another one may have taken over.
+            # Without a valid lease another owner may have taken over.
             if self._host.tenure.is_valid:
                 self._host.owner.note_job(record)
-        elif self._host.owner_presence is not None:
+        elif self._host.known_owner is not None:
             body = encode_record(record)
-            address = self._host.owner_presence.address
+            address = self._host.known_owner.address
             self._host.spawn(self._host.ask_peer, address, Operation.NOTE_JOB, body)
 
     async def find_job(self, job_id: str) -> JobView | NoSuchJob | Unavailable:
-        """Return what may be told of a job."""
-        known = self._final.get(job_id)
+        """Return the status of a job as shown to callers."""
+        known = self._final_views.get(job_id)
         if known is not None:
             return known
-        view = await self._ask_owner_view(job_id)
+        view = await self._ask_owner(job_id)
         found = view if isinstance(view, JobView) else await self._read_view(job_id)
         if isinstance(found, JobView) and found.status.is_final:
-            self._keep_final(job_id, found)
+            self._cache_final(job_id, found)
         elif isinstance(view, Unowned) and not isinstance(found, NoSuchJob):
             stored = found.status.value if isinstance(found, JobView) else found.reason
             self._host.stands.tell_unowned(job_id, view, stored)
         return found
 
-    def _keep_final(self, job_id: str, view: JobView) -> None:
-        """Remember a final state, and forget the oldest ones beyond the bound."""
-        self._final[job_id] = view
-        if len(self._final) > MAX_FINAL:
-            del self._final[next(iter(self._final))]
+    def _cache_final(self, job_id: str, view: JobView) -> None:
+        """Cache a final status, and evict the oldest entry when the cache is full."""
+        self._final_views[job_id] = view
+        if len(self._final_views) > MAX_CACHED_FINAL:
+            del self._final_views[next(iter(self._final_views))]
 
-    async def _ask_owner_view(self, job_id: str) -> JobView | Unowned:
+    async def _ask_owner(self, job_id: str) -> JobView | Unowned:
         if self._host.owner is not None:
             view = self._host.owner.view(job_id)
-            return view or Unowned(self._host.settings.name, NOT_TOLD)
-        presence = self._host.owner_presence
+            return view or Unowned(self._host.settings.name, NOT_KNOWN_TO_OWNER)
+        presence = self._host.known_owner
         if presence is None:
             return Unowned("", "no owner is known")
         reply = await self._host.ask_peer(
@@ -226,7 +232,7 @@
         if isinstance(reply, PeerUnreachable):
             return Unowned(presence.host, reply.reason)
         if reply.status != OK:
-            return Unowned(presence.host, NOT_TOLD)
+            return Unowned(presence.host, NOT_KNOWN_TO_OWNER)
         view = self._host.read_reply(reply, Operation.JOB_STATE, presence.address, _decode_view)
         if view is None:
             return Unowned(presence.host, "its reply can't be read")
@@ -235,7 +241,7 @@
         return view
 
     async def _read_view(self, job_id: str) -> JobView | NoSuchJob | Unavailable:
-        """Read a job from the store: it may lag behind what runs, but is never wrong."""
+        """Read a job from the store, whose status may lag behind what runs."""
         item = await self._host.store.read(job_key(job_id))
         if isinstance(item, Unavailable):
             return item
@@ -260,12 +266,12 @@
         return JobView(status, record.spec.tenant, record.spec.queue.name)
 
     async def count_pending(self, queue: str) -> int | None:
-        """Return how many jobs of a queue have not begun; None if nobody can tell."""
+        """Return how many jobs of a queue have not begun; None if no owner answers."""
         if self._host.owner is not None:
             return self._host.owner.count_pending(queue)
-        if self._host.owner_presence is None:
+        if self._host.known_owner is None:
             return None
-        address = self._host.owner_presence.address
+        address = self._host.known_owner.address
         reply = await self._host.ask_peer(
             address,
             Operation.QUEUE_COUNT,
@@ -280,7 +286,7 @@
 def _decode_view(body: dict[str, Any]) -> JobView:
     tenant, queue = body["tenant"], body["queue"]
     if not isinstance(tenant, str) or not isinstance(queue, str):
-        raise ValueError("a tenant and a queue are texts")
+        raise ValueError("a tenant and a queue are strings")
     stand = JobStand.decode(body["stand"]) if "stand" in body else None
     return JobView(JobStatus(body["status"]), tenant, queue, stand)
 
@@ -288,5 +294,5 @@
 def _decode_count(body: dict[str, Any]) -> int:
     count = int(body["count"])
     if count < 0:
-        raise ValueError(f"a count of {count}")
+        raise ValueError(f"a negative count: {count}")
     return count
--- a/packages/heronthread-dispatch/tests/test_host.py
+++ b/packages/heronthread-dispatch/tests/test_host.py
@@ -1,4 +1,4 @@
-"""What a host answers its peers, whatever they send."""
+"""Host.handle() with valid, malformed and random peer requests."""
 
 import json
 import random
@@ -34,7 +34,7 @@
     return bodies
 
 
-async def test_any_request_of_a_peer_is_answered(autojump_clock: Clock) -> None:
+async def test_every_peer_request_is_answered(autojump_clock: Clock) -> None:
     async with EmulatedSite.open(hosts=2) as site:
         await site.wait_for_owner()
         for host in site.hosts.values():
@@ -47,7 +47,7 @@
         assert [start.task.job for start in site.executors.starts()] == ["b"]
 
 
-async def test_unreadable_requests_are_logged_once_in_a_while(autojump_clock: Clock) -> None:
+async def test_malformed_requests_are_logged_at_a_limited_rate(autojump_clock: Clock) -> None:
     async with EmulatedSite.open(hosts=1) as site:
         await site.wait_for_owner()
         with captured_events() as messages:
@@ -58,7 +58,7 @@
         assert [line["operation"] for line in lines] == [Operation.NOTE_JOB]
 
 
-async def test_news_that_is_none_is_logged_and_passed_over(autojump_clock: Clock) -> None:
+async def test_malformed_news_is_logged_and_ignored(autojump_clock: Clock) -> None:
     async with EmulatedSite.open(hosts=1) as site:
         await site.wait_for_owner()
         host = site.hosts["h0"]
--- a/packages/heronthread-dispatch/tests/test_intake.py
+++ b/packages/heronthread-dispatch/tests/test_intake.py
@@ -1,23 +1,23 @@
-"""What callers are told when time runs out: a refusal if nothing was written, else doubt."""
+"""Outcomes of a timeout: a rejection if no write was in flight, else unsettled."""
 
 import trio
 from heronthread_dispatch.intake import (
-    Doubt,
     IntakeOutcome,
     NoSuchJob,
     NotTaken,
+    PendingWrite,
     Taken,
     Unsettled,
     accept_job,
-    insist,
+    try_routes,
 )
 from heronthread_emulator import EmulatedSite, Told, check_promises
 
 Clock = trio.testing.MockClock
 
 
-async def test_time_that_runs_out_before_a_write_is_a_refusal(autojump_clock: Clock) -> None:
-    """The store is silent and known to be; the caller's deadline ends during the look."""
+async def test_timeout_before_a_write_is_a_rejection(autojump_clock: Clock) -> None:
+    """The store is known to be silent, and the caller's deadline ends during the first read."""
     async with EmulatedSite.open(hosts=2) as site:
         await site.wait_for_owner()
         for view in site.views.values():
@@ -32,7 +32,7 @@
         assert check_promises(site.executors, {"a": told}) == []
 
 
-async def test_time_that_runs_out_during_a_write_is_doubt(autojump_clock: Clock) -> None:
+async def test_timeout_during_a_write_is_unsettled(autojump_clock: Clock) -> None:
     async with EmulatedSite.open(hosts=2) as site:
         await site.wait_for_owner()
         site.views["h0"].lose_answers = 9
@@ -43,23 +43,25 @@
         assert len(site.executors.starts()) == 1
 
 
-async def test_doubt_of_one_way_outlasts_the_refusal_of_the_next(autojump_clock: Clock) -> None:
-    async def lose(doubt: Doubt) -> IntakeOutcome:
+async def test_an_unsettled_route_outweighs_a_later_rejection(autojump_clock: Clock) -> None:
+    async def lose_answer(pending_write: PendingWrite) -> IntakeOutcome:
         return Unsettled("lost")
 
-    async def look(doubt: Doubt) -> IntakeOutcome:
+    async def never_answer(pending_write: PendingWrite) -> IntakeOutcome:
         await trio.sleep_forever()
         return NotTaken("never")
 
-    assert isinstance(await insist([lose, look], 0.5), Unsettled)
-    assert isinstance(await insist([look], 0.5), NotTaken)
+    assert isinstance(await try_routes([lose_answer, never_answer], 0.5), Unsettled)
+    assert isinstance(await try_routes([never_answer], 0.5), NotTaken)
 
 
-async def test_answer_ends_doubt(autojump_clock: Clock) -> None:
+async def test_an_answer_clears_the_pending_write(autojump_clock: Clock) -> None:
     async with EmulatedSite.open() as site:
-        doubt = Doubt()
-        assert isinstance(await accept_job(site.store_view(), site.make_job("a"), doubt), Taken)
-        assert not doubt.is_open
+        pending_write = PendingWrite()
+        assert isinstance(
+            await accept_job(site.store_view(), site.make_job("a"), pending_write), Taken
+        )
+        assert not pending_write.is_open
 
 
 async def _accept_timed(site: EmulatedSite, host: str, job: str) -> tuple[IntakeOutcome, float]:
@@ -68,7 +70,7 @@
     return outcome, trio.current_time() - began
 
 
-async def test_a_write_whose_answer_is_lost_is_tried_again_before_it_times_out(
+async def test_a_write_without_an_answer_is_retried_before_it_times_out(
     autojump_clock: Clock,
 ) -> None:
     async with EmulatedSite.open(hosts=3) as site:
@@ -81,7 +83,7 @@
         assert len(site.executors.starts()) == 1
 
 
-async def test_a_host_that_the_store_leaves_unanswered_uses_a_peer_at_once(
+async def test_a_host_with_a_silent_store_uses_a_peer_at_once(
     autojump_clock: Clock,
 ) -> None:
     async with EmulatedSite.open(hosts=4) as site:
@@ -93,10 +95,10 @@
         assert took_s < 0.6
 
 
-async def test_callers_are_not_held_while_the_store_is_silent_for_all(
+async def test_callers_get_early_answers_while_the_store_is_silent_for_all(
     autojump_clock: Clock,
 ) -> None:
-    """The first is told of the doubt well before half of its time, the next refused at once."""
+    """The first caller gets an unsettled outcome early, the next is rejected at once."""
     async with EmulatedSite.open(hosts=4) as site:
         await site.wait_for_owner()
         await trio.sleep(2.0)
@@ -123,27 +125,27 @@
             assert took_s < 0.7
 
 
-async def test_the_next_way_begins_once_one_takes_long_and_both_go_on(
+async def test_the_next_route_is_hedged_and_both_run(
     autojump_clock: Clock,
 ) -> None:
     async def answer_after(seconds: float, outcome: IntakeOutcome) -> IntakeOutcome:
         await trio.sleep(seconds)
         return outcome
 
-    refused = NotTaken("busy")
+    rejected = NotTaken("busy")
     settled = NoSuchJob()
     began = trio.current_time()
-    ways = [lambda _: answer_after(1.0, settled), lambda _: answer_after(5.0, refused)]
-    assert await insist(ways, 2.0, lambda: 0.2) is settled
+    routes = [lambda _: answer_after(1.0, settled), lambda _: answer_after(5.0, rejected)]
+    assert await try_routes(routes, 2.0, lambda: 0.2) is settled
     assert trio.current_time() - began < 1.1
-    ways = [lambda _: answer_after(1.0, refused), lambda _: answer_after(0.1, settled)]
+    routes = [lambda _: answer_after(1.0, rejected), lambda _: answer_after(0.1, settled)]
     began = trio.current_time()
-    assert await insist(ways, 2.0, lambda: 0.2) is settled
+    assert await try_routes(routes, 2.0, lambda: 0.2) is settled
     assert trio.current_time() - began < 0.4
 
 
-async def test_a_refusal_is_told_at_once(autojump_clock: Clock) -> None:
-    """No pause follows the last way; a store that resets or is busy refuses in milliseconds."""
+async def test_a_rejection_is_returned_at_once(autojump_clock: Clock) -> None:
+    """No pause follows the last route, so a store that fails fast rejects within milliseconds."""
     async with EmulatedSite.open(hosts=3) as site:
         await site.wait_for_owner()
         site.store.is_down = True
@@ -153,17 +155,19 @@
         assert took_s < 0.02
 
         began = trio.current_time()
-        refused = NotTaken("busy")
+        rejected = NotTaken("busy")
 
-        async def refuse(_: Doubt) -> IntakeOutcome:
-            return refused
+        async def refuse(_: PendingWrite) -> IntakeOutcome:
+            return rejected
 
-        assert await insist([refuse, refuse, refuse], 2.0) is refused
+        assert await try_routes([refuse, refuse, refuse], 2.0) is rejected
         assert trio.current_time() - began < 0.1
 
 
-async def test_job_cancelled_while_its_taking_in_is_open_never_runs(autojump_clock: Clock) -> None:
-    """Its write is done 3 s late, after its cancelling was answered."""
+async def test_job_cancelled_while_its_accepting_write_is_in_flight_never_runs(
+    autojump_clock: Clock,
+) -> None:
+    """The accepting write takes effect 3 s late, after the cancellation was answered."""
     async with EmulatedSite.open(hosts=2, executors=2) as site:
         await site.wait_for_owner()
         record = site.make_job("a", work_s=20.0)
--- a/packages/heronthread-dispatch/tests/test_requests.py
+++ b/packages/heronthread-dispatch/tests/test_requests.py
@@ -1,4 +1,4 @@
-"""What callers are told when a peer's reply can't be read."""
+"""Callers' requests when a peer's reply is malformed."""
 
 import base64
 
@@ -14,14 +14,14 @@
 
 Clock = trio.testing.MockClock
 
-DEEP = b"[" * 100_000
-"""Deeper than any reader goes."""
+DEEPLY_NESTED = b"[" * 100_000
+"""JSON nested beyond the parser's recursion limit."""
 
 
-def _spoil(
+def _replace_replies(
     site: EmulatedSite, monkeypatch: pytest.MonkeyPatch, operation: int, body: bytes
 ) -> list[str]:
-    """Have every peer do what it is asked, and answer one operation with `body`."""
+    """Replace the replies to one operation with `body`; peers still execute the calls."""
     asked: list[str] = []
     call = site.peers.call
 
@@ -36,27 +36,27 @@
     return asked
 
 
-def _pack(record: bytes) -> bytes:
+def _wrap_record(record: bytes) -> bytes:
     return b'{"record": "' + base64.b64encode(record) + b'"}'
 
 
-BAD_RECORDS = [
+MALFORMED_REPLIES = [
     b"{}",
     b'{"record": 7}',
     b'{"record": "not base64!"}',
     b'{"record": "abc"}',
-    _pack(b"no record"),
-    _pack(b"{}"),
-    _pack(b"null"),
-    _pack(b'{"steps": [[1]]}'),
-    _pack(DEEP),
+    _wrap_record(b"no record"),
+    _wrap_record(b"{}"),
+    _wrap_record(b"null"),
+    _wrap_record(b'{"steps": [[1]]}'),
+    _wrap_record(DEEPLY_NESTED),
     b"null",
-    DEEP,
+    DEEPLY_NESTED,
 ]
 
 
-async def _open_cut_host(site: EmulatedSite) -> str:
-    """Return a host that lacks the store, and is not the owner."""
+async def _cut_off_a_follower(site: EmulatedSite) -> str:
+    """Return a host that is not the owner and is cut off from the store."""
     owner = await site.wait_for_owner()
     name = next(name for name in sorted(site.hosts) if name != owner)
     await trio.sleep(2.0)
@@ -65,14 +65,14 @@
     return name
 
 
-@pytest.mark.parametrize("body", BAD_RECORDS)
-async def test_a_job_whose_record_comes_back_unreadable_is_in_doubt(
+@pytest.mark.parametrize("body", MALFORMED_REPLIES)
+async def test_accepting_with_a_malformed_reply_is_unsettled(
     autojump_clock: Clock, monkeypatch: pytest.MonkeyPatch, body: bytes
 ) -> None:
-    """The peer has taken it in; the same call again, at any host, settles it."""
+    """The peer has accepted the job; repeating the call is conclusive."""
     async with EmulatedSite.open(hosts=3) as site:
-        host = site.hosts[await _open_cut_host(site)]
-        asked = _spoil(site, monkeypatch, Operation.ACCEPT_JOB, body)
+        host = site.hosts[await _cut_off_a_follower(site)]
+        asked = _replace_replies(site, monkeypatch, Operation.ACCEPT_JOB, body)
         record = site.make_job("a", work_s=0.5)
         outcome: IntakeOutcome = await host.requests.accept(record, 2.0)
         assert asked
@@ -83,14 +83,14 @@
         assert [start.task.job for start in site.executors.starts()] == ["a"]
 
 
-@pytest.mark.parametrize("body", BAD_RECORDS)
-async def test_a_cancel_whose_record_comes_back_unreadable_is_in_doubt(
+@pytest.mark.parametrize("body", MALFORMED_REPLIES)
+async def test_cancelling_with_a_malformed_reply_is_unsettled(
     autojump_clock: Clock, monkeypatch: pytest.MonkeyPatch, body: bytes
 ) -> None:
     async with EmulatedSite.open(hosts=3) as site:
-        host = site.hosts[await _open_cut_host(site)]
+        host = site.hosts[await _cut_off_a_follower(site)]
         await host.requests.accept(site.make_job("a", work_s=60.0), 2.0)
-        asked = _spoil(site, monkeypatch, Operation.CANCEL_JOB, body)
+        asked = _replace_replies(site, monkeypatch, Operation.CANCEL_JOB, body)
         assert isinstance(await host.requests.cancel("a", "first", 2.0), Unsettled)
         assert asked
         monkeypatch.undo()
@@ -105,10 +105,10 @@
         b'{"status": [], "tenant": "first", "queue": "ordinary"}',
         b'{"status": "running", "tenant": 1, "queue": "ordinary"}',
         b'{"status": "running", "tenant": "first"}',
-        DEEP,
+        DEEPLY_NESTED,
     ],
 )
-async def test_a_state_that_the_owner_tells_unreadably_is_read_from_the_store(
+async def test_status_is_read_from_the_store_after_a_malformed_reply(
     autojump_clock: Clock, monkeypatch: pytest.MonkeyPatch, body: bytes
 ) -> None:
     async with EmulatedSite.open(hosts=3) as site:
@@ -116,7 +116,7 @@
         host = next(host for name, host in site.hosts.items() if name != owner)
         await host.requests.accept(site.make_job("a", work_s=0.5), 2.0)
         await trio.sleep(3.0)
-        asked = _spoil(site, monkeypatch, Operation.JOB_STATE, body)
+        asked = _replace_replies(site, monkeypatch, Operation.JOB_STATE, body)
         found: JobView | NoSuchJob | Unavailable = await host.requests.find_job("a")
         assert found == JobView(JobStatus.SUCCEEDED, "first", "ordinary")
         assert isinstance(await host.requests.find_job("b"), NoSuchJob)
@@ -126,24 +126,24 @@
 @pytest.mark.parametrize(
     "body", [b"{}", b'{"count": "a"}', b'{"count": null}', b'{"count": Infinity}', b'{"count": -1}']
 )
-async def test_a_count_that_the_owner_tells_unreadably_is_not_known(
+async def test_a_malformed_count_is_unknown(
     autojump_clock: Clock, monkeypatch: pytest.MonkeyPatch, body: bytes
 ) -> None:
     async with EmulatedSite.open(hosts=3) as site:
         owner = await site.wait_for_owner()
         host = next(host for name, host in site.hosts.items() if name != owner)
-        asked = _spoil(site, monkeypatch, Operation.QUEUE_COUNT, body)
+        asked = _replace_replies(site, monkeypatch, Operation.QUEUE_COUNT, body)
         assert await host.requests.count_pending("ordinary") is None
         assert asked
 
 
-async def test_unreadable_replies_are_logged_once_in_a_while(
+async def test_malformed_replies_are_logged_at_a_limited_rate(
     autojump_clock: Clock, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async with EmulatedSite.open(hosts=2) as site:
         owner = await site.wait_for_owner()
         host = next(host for name, host in site.hosts.items() if name != owner)
-        _spoil(site, monkeypatch, Operation.QUEUE_COUNT, b"[1]")
+        _replace_replies(site, monkeypatch, Operation.QUEUE_COUNT, b"[1]")
         with captured_events() as messages:
             for _ in range(20):
                 await host.requests.count_pending("ordinary")
@@ -156,11 +156,11 @@
         assert [line["skipped"] for line in lines] == [0, 19]
 
 
-async def test_a_refusal_with_an_odd_reason_is_a_refusal(
+async def test_a_rejection_with_a_malformed_reason_is_a_rejection(
     autojump_clock: Clock, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async with EmulatedSite.open(hosts=2) as site:
-        host = site.hosts[await _open_cut_host(site)]
+        host = site.hosts[await _cut_off_a_follower(site)]
         call = site.peers.call
 
         async def refuse(address: str, frame: Frame, timeout_s: float) -> Frame | PeerUnreachable:
