--- a/packages/heronthread-dispatch/src/heronthread_dispatch/directory.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/directory.py
@@ -1,7 +1,7 @@
-"""The executors' entries in the store as one owner has read them, and those that name none to use.
+"""The owner's view of executors' directory entries, valid and invalid.
 
-Anybody may write there. An entry that is not as agreed changes one thing only: its executor gets no
-new work until a good one is there. What runs there is watched on and its ends are taken in.
+Anybody may write entries. An invalid one only keeps new work from its executor until a valid entry
+replaces it; its runs are still supervised.
 """
 
 from __future__ import annotations
@@ -20,18 +20,17 @@
 from .owned import OwnedCell
 from .sizes import PoolSizes
 
-MOST_UNNAMED = 2_000
-"""Entries kept to be read again once a configuration names their pool; twice the 1,000 executors of
-the largest site played. An executor beyond them is taken in at its next heartbeat."""
-TOLD_EVERY_S = 5.0
-"""Entries of ids without an executor are logged so often for each reason: a storm of them would
-push the lines of requests out of a record."""
+MAX_UNKNOWN_POOL_ITEMS = 2_000
+"""Entries kept to be parsed again once a configuration names their pool; an executor beyond this
+limit is added at its next heartbeat."""
+REFUSAL_LOG_INTERVAL_S = 5.0
+"""Log interval, for each fault, of invalid entries whose id has no executor; limits log floods."""
 
 
 class Directory:
-    """Takes entries into a cell; `begin` is told of each new executor.
+    """Applies directory entries to a cell and calls `begin` for each new executor.
 
-    `sizes` counts what good entries offer; `listings` logs which entries go and come back.
+    `sizes` tracks the capacity of valid entries; `listings` logs removed and restored entries.
     """
 
     def __init__(
@@ -45,31 +44,31 @@
         self._cell = cell
         self._format = directory
         self._begin = begin
-        self._bad: dict[str, BadEntry] = {}
-        self._unnamed: dict[str, Item] = {}
+        self._invalid: dict[str, BadEntry] = {}
+        self._unknown_pool_items: dict[str, Item] = {}
         self._desired: DesiredState | None = None
-        self._told = RepeatedEvents(TOLD_EVERY_S)
+        self._refusal_log = RepeatedEvents(REFUSAL_LOG_INTERVAL_S)
 
     @property
-    def bad_count(self) -> int:
-        """How many entries name no executor to use."""
-        return len(self._bad)
+    def invalid_count(self) -> int:
+        """Number of invalid entries."""
+        return len(self._invalid)
 
     def take_listing(self, listing: Listing) -> None:
-        """Take in everything that stands under the prefix."""
+        """Apply a complete listing of the prefix."""
         present = set()
         for item in listing.items:
             self.take(item)
             present.add(item.key.removeprefix(self._format.prefix))
         self.sizes.drop_others(present, trio.current_time())
-        for executor_id in self._bad.keys() - present:
+        for executor_id in self._invalid.keys() - present:
             self._forget(executor_id)
         for state in self._cell.executors.values():
             if state.id not in present:
                 self._delist(state)
 
     def take(self, event: Item | Gone) -> None:
-        """Take in one change."""
+        """Apply one change."""
         executor_id = event.key.removeprefix(self._format.prefix)
         if isinstance(event, Gone):
             self._forget(executor_id)
@@ -80,50 +79,50 @@
             return
         found = self._read(executor_id, event)
         if isinstance(found, BadEntry):
-            self._set_aside(executor_id, found)
+            self._quarantine(executor_id, found)
         else:
             self._accept(found)
-        self.listings.note_there(executor_id, self._cell.executors.get(executor_id))
+        self.listings.note_listed(executor_id, self._cell.executors.get(executor_id))
 
     def read_again(self) -> None:
-        """Read the entries again whose pool the configuration did not name, if it has changed."""
+        """Parse entries of unknown pools again if the configuration has changed."""
         desired = self._cell.parts.desired()
         if desired is self._desired:
             return
         self._desired = desired
-        for item in list(self._unnamed.values()):
+        for item in list(self._unknown_pool_items.values()):
             self.take(item)
 
     def _read(self, executor_id: str, item: Item) -> Executor | BadEntry:
-        self._unnamed.pop(executor_id, None)
+        self._unknown_pool_items.pop(executor_id, None)
         found = self._format.parse(executor_id, item.value)
         if isinstance(found, BadEntry):
             return found
         state = self._cell.executors.get(executor_id)
         if state is not None and _names_another_life(state, found):
-            return _compare_life(state, found)
-        if state is not None and _may_hold_work(state):
-            self._seek(state, found)
-            return _compare_place(state, found)
-        if not self._is_named(found.pool):
-            if len(self._unnamed) < MOST_UNNAMED:
-                self._unnamed[executor_id] = item
+            return _check_life(state, found)
+        if state is not None and _may_run_tasks(state):
+            self._probe_other_address(state, found)
+            return _check_location(state, found)
+        if not self._is_known_pool(found.pool):
+            if len(self._unknown_pool_items) < MAX_UNKNOWN_POOL_ITEMS:
+                self._unknown_pool_items[executor_id] = item
             return BadEntry(EntryFault.UNKNOWN_POOL, found.pool)
         return found
 
-    def _seek(self, state: ExecutorState, executor: Executor) -> None:
-        """Have a life asked at the address of its entry where that is all that differs.
+    def _probe_other_address(self, state: ExecutorState, executor: Executor) -> None:
+        """Probe an executor at the address of its entry if only the address differs.
 
-        Each host may have a way of its own to it, and it was heard where an earlier owner's led.
+        The known address may come from an earlier owner, whose host had another route to it.
         """
-        state.elsewhere = executor if _differs_in_address(state, executor) else None
+        state.elsewhere = executor if _differs_only_in_address(state, executor) else None
         if state.elsewhere is not None:
             state.wake.set()
 
-    def _is_named(self, pool: str) -> bool:
-        """Whether work may be sent to a pool: by the configuration, or for a job taken in before.
+    def _is_known_pool(self, pool: str) -> bool:
+        """Whether a pool may get work: the configuration or an active job names it.
 
-        Without a configuration that can't be told, and nothing is sent to a pool nobody names.
+        Every pool passes while no configuration is known.
         """
         desired = self._cell.parts.desired()
         if desired.version == 0 or pool in desired.pools:
@@ -132,13 +131,13 @@
 
     def _accept(self, executor: Executor) -> None:
         now = trio.current_time()
-        self._note_good(executor.id)
+        self._note_valid(executor.id)
         self.sizes.keep(executor, now)
         state = self._cell.executors.get(executor.id)
         if state is None:
             self._add(executor, now)
         elif _names_another_life(state, executor):
-            self._announce(state, executor)
+            self._await_later_life(state, executor)
         else:
             self._renew(state, executor, now)
         self._cell.note_use()
@@ -146,7 +145,7 @@
 
     def _add(self, executor: Executor, now: float) -> None:
         state = make_executor(executor, now)
-        # No owner has used it yet: it would be recorded as in use.
+        # No owner has used it yet, or it would be recorded as in use.
         state.is_named = True
         # The store may still say how soon it lapses, of one that was given up before.
         state.is_lapsing = True
@@ -162,14 +161,14 @@
         )
         self._begin(state)
 
-    def _announce(self, state: ExecutorState, executor: Executor) -> None:
-        """Give no new work to a life whose id is said to have a later one, and have that asked.
+    def _await_later_life(self, state: ExecutorState, executor: Executor) -> None:
+        """Stop new work for a life whose entry names a later one, and probe the later one.
 
-        What runs is over only once the other life answers: the entry may be another writer's.
+        Runs end only once the later life answers, as anybody may have written the entry.
         """
         state.listed = state.was_listed = True
         state.is_set_aside = False
-        # Each entry has it asked once: the other life may begin to answer after the first one.
+        # Each entry triggers one probe: the later life may not answer the first one yet.
         state.announced = executor
         state.wake.set()
 
@@ -195,58 +194,57 @@
                 "executor.draining", **describe_life(state.life), leaves_in_s=executor.leaves_in_s
             )
 
-    def _set_aside(self, executor_id: str, bad: BadEntry) -> None:
-        """Give an executor no new work; something is there under its id, so it is not gone."""
+    def _quarantine(self, executor_id: str, bad: BadEntry) -> None:
+        """Stop new work for an executor with an invalid entry; it still counts as listed."""
         self.sizes.drop(executor_id, trio.current_time())
         state = self._cell.executors.get(executor_id)
         if state is not None:
             state.listed = state.was_listed = True
             state.is_set_aside = True
-        if self._bad.get(executor_id) != bad:
-            self._bad[executor_id] = bad
-            self._tell(executor_id, bad, state)
+        if self._invalid.get(executor_id) != bad:
+            self._invalid[executor_id] = bad
+            self._log_refusal(executor_id, bad, state)
 
-    def _tell(self, executor_id: str, bad: BadEntry, state: ExecutorState | None) -> None:
-        """Log an entry once while it is bad in one way, and count it by its fault."""
+    def _log_refusal(self, executor_id: str, bad: BadEntry, state: ExecutorState | None) -> None:
+        """Log an invalid entry once for each fault and detail, and count its fault."""
         self._cell.parts.statistics.count("bad_entries", bad.fault.value)
         fields = {"executor": executor_id, "fault": bad.fault.value, "detail": bad.detail}
         if state is None:
-            self._told.log("entry.refused", (bad.fault,), known=False, **fields)
+            self._refusal_log.log("entry.refused", (bad.fault,), known=False, **fields)
         else:
             log_event("entry.refused", known=True, runs=len(state.list_held()), **fields)
 
-    def _note_good(self, executor_id: str) -> None:
-        if executor_id in self._bad:
+    def _note_valid(self, executor_id: str) -> None:
+        if executor_id in self._invalid:
             self._forget(executor_id)
             log_event("entry.good_again", executor=executor_id)
 
     def _delist(self, state: ExecutorState) -> None:
         if state.listed:
-            self.listings.note_gone(state)
+            self.listings.note_removed(state)
         state.listed = False
         state.wake.set()
 
     def _forget(self, executor_id: str) -> None:
-        self._bad.pop(executor_id, None)
-        self._unnamed.pop(executor_id, None)
+        self._invalid.pop(executor_id, None)
+        self._unknown_pool_items.pop(executor_id, None)
 
 
-def _may_hold_work(state: ExecutorState) -> bool:
-    """Whether it is known where an executor is: it was heard there, or an owner has used it."""
+def _may_run_tasks(state: ExecutorState) -> bool:
+    """Whether an executor may run tasks: it has reported, or an owner has used it."""
     return state.heard or state.is_inherited or bool(state.list_held())
 
 
 def _names_another_life(state: ExecutorState, executor: Executor) -> bool:
-    """Whether an entry is of another life than the one that reports under the id.
+    """Whether an entry names another life than the one that reports under the id.
 
-    A life that has not reported yet is what its entry says, and one whose reports do not say when
-    it began can't be told from any other.
+    False if no life has reported yet, or if its reports lack a start time to compare.
     """
     return state.heard and state.life.born != 0 and executor.born != state.life.born
 
 
-def _compare_life(state: ExecutorState, executor: Executor) -> Executor | BadEntry:
-    """Return the executor if it may have begun since, else why its entry names none to use."""
+def _check_life(state: ExecutorState, executor: Executor) -> Executor | BadEntry:
+    """Return the executor if its life is later than the one that reports, else the fault."""
     if not executor.born:
         return BadEntry(EntryFault.MISSING_FIELD, "born")
     if executor.born < state.life.born:
@@ -254,23 +252,22 @@
     return executor
 
 
-def _differs_in_address(state: ExecutorState, executor: Executor) -> bool:
-    """Whether an entry names the life that reports, and another address alone.
+def _differs_only_in_address(state: ExecutorState, executor: Executor) -> bool:
+    """Whether an entry names the life that reports and differs only in its address.
 
-    Where nobody says when a life began, an answer there could be anybody's.
+    False without a start time, as another executor could answer at that address.
     """
     address = state.executor.address
     if not (state.heard and executor.born) or executor.address == address:
         return False
-    return not isinstance(_compare_place(state, replace(executor, address=address)), BadEntry)
+    return not isinstance(_check_location(state, replace(executor, address=address)), BadEntry)
 
 
-def _compare_place(state: ExecutorState, executor: Executor) -> Executor | BadEntry:
-    """Return the executor unless its entry names another place than the one where it is.
+def _check_location(state: ExecutorState, executor: Executor) -> Executor | BadEntry:
+    """Return the executor, or a fault if its address, pool or failure domain has changed.
 
-    One life stays at its address, in its pool and its failure domain. Asked at another address,
-    somebody else answers for it, and its runs would count as ended while they go on. An address
-    at which this owner has not heard it is what an earlier owner saw: another way may lead there.
+    These never change within one life. At a wrong address another executor would answer, and runs
+    that still go on would count as ended. An address inherited from an earlier owner may differ.
     """
     known = state.executor
     if state.heard and executor.address != known.address:
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/domains.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/domains.py
@@ -1,17 +1,17 @@
-"""The failure domains of a cell: what is there, who asked to evacuate them, and what is left."""
+"""The failure domains of a cell: their executors, evacuation requests and remaining capacity."""
 
 from __future__ import annotations
 
 from typing import Any
 
-from .evacuation import list_unknown
+from .evacuation import list_unknown_domains
 from .events import log_event
 from .fleet import ExecutorState
 from .owned import OwnedCell
 
 
 def list_domains(cell: OwnedCell) -> list[str]:
-    """Return the domains in which the owner knows executors."""
+    """Return the domains that have known executors."""
     zones = {state.executor.zone for state in cell.executors.values() if not state.dead}
     return sorted(zones - {""})
 
@@ -26,7 +26,7 @@
             {
                 "domain": domain,
                 "evacuated": domain in evacuations.domains,
-                "asked by": " ".join(evacuations.describe_askers(domain)),
+                "asked by": " ".join(evacuations.list_requesters(domain)),
                 "known for s": evacuations.find_age_s(domain),
                 "executors": len(there),
                 "runs": sum(len(state.list_held()) for state in there),
@@ -36,19 +36,19 @@
     return rows
 
 
-def count_left(cell: OwnedCell) -> int:
-    """Return the accelerators at executors that take new work, whatever uses them now."""
-    return sum(s.executor.capacity.accelerators for s in _takers(cell))
+def count_remaining(cell: OwnedCell) -> int:
+    """Return the accelerators, used or free, of executors that may take new work."""
+    return sum(s.executor.capacity.accelerators for s in _list_available(cell))
 
 
 def find_shortfall(cell: OwnedCell) -> int:
-    """Return by how many accelerators all guarantees together exceed what is left."""
+    """Return by how many accelerators the sum of guarantees exceeds the remaining capacity."""
     promised = sum(tenant.guaranteed for tenant in cell.parts.desired().tenants)
-    return max(0, promised - count_left(cell))
+    return max(0, promised - count_remaining(cell))
 
 
-def _takers(cell: OwnedCell) -> list[ExecutorState]:
-    """Return the executors that are there to be used, though one may rest for a moment."""
+def _list_available(cell: OwnedCell) -> list[ExecutorState]:
+    """Return the executors that may take new work, including those that back off briefly."""
     return [
         state
         for state in cell.executors.values()
@@ -57,15 +57,15 @@
 
 
 def tell_of_limits(cell: OwnedCell) -> None:
-    """Log what the evacuated domains leave undone: unknown ones, guarantees, everything."""
+    """Log evacuations of unknown domains or of all, and guarantees that exceed what is left."""
     domains = cell.parts.evacuations.domains
     if not domains:
         return
     known = list_domains(cell)
-    for domain in list_unknown(domains, known):
+    for domain in list_unknown_domains(domains, known):
         log_event("evacuation.unknown", domain=domain, known=known)
     if known and domains.issuperset(known):
         log_event("evacuation.all", domains=known, active=len(cell.active))
     short = find_shortfall(cell)
     if short:
-        log_event("guarantee.short", accelerators=short, left=count_left(cell))
+        log_event("guarantee.short", accelerators=short, left=count_remaining(cell))
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/host.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/host.py
@@ -9,14 +9,14 @@
 import trio
 
 from .evacuating import (
-    SETTLE_S,
-    AskRefused,
+    CONFIRM_TIMEOUT_S,
     EvacuationOutcome,
     InForce,
-    NotAsked,
+    RequestFailed,
+    RequestRejected,
     set_evacuation,
 )
-from .evacuation import COMMANDED_PREFIX
+from .evacuation import COMMAND_PREFIX
 from .events import log_event
 from .follow import Follower
 from .host_state import HostParts, HostSettings, HostState
@@ -59,7 +59,7 @@
 MIN_HANDOVER_INTERVAL_S = 10.0
 """Least time between handovers, so that a stronger host that can't take over doesn't make this
 host give up the cell repeatedly."""
-EVACUATE_S = SETTLE_S + CALL_S
+EVACUATE_S = CONFIRM_TIMEOUT_S + CALL_S
 """Timeout of an evacuation request that is forwarded to the owner."""
 OWNER_ONLY_OPERATIONS = (Operation.CELL_OVERVIEW, Operation.JOB_STORY, Operation.EVACUATE)
 """Operations that only the owner answers; other hosts forward them to it."""
@@ -138,7 +138,7 @@
         self.members = {
             name: member for name, member in self.members.items() if HOST_PREFIX + name in keys
         }
-        self.evacuations.take_listing(listing, (COMMANDED_PREFIX,))
+        self.evacuations.take_listing(listing, (COMMAND_PREFIX,))
         if OWNER_KEY not in keys:
             self._update_owner(None)
         for item in listing.items:
@@ -147,7 +147,7 @@
     def _apply_cell_change(self, event: Item | Gone) -> None:
         if event.key == OWNER_KEY:
             self._update_owner(event if isinstance(event, Item) else None)
-        elif event.key.startswith(COMMANDED_PREFIX):
+        elif event.key.startswith(COMMAND_PREFIX):
             self.evacuations.take(event)
         elif event.key.startswith(HOST_PREFIX):
             name = event.key.removeprefix(HOST_PREFIX)
@@ -290,7 +290,7 @@
             gauges["jobs_standing"] = len(self.owner.waits.standing)
             gauges["longest_stand_s"] = self.owner.waits.longest_s
             gauges["executors"] = len(self.owner.cell.executors)
-            gauges["entries_set_aside"] = self.owner.directory.bad_count
+            gauges["entries_set_aside"] = self.owner.directory.invalid_count
         for call, count in self.store.calls.items():
             gauges[f"store_{call}_calls"] = count
         for call, count in self.store.failures.items():
@@ -390,9 +390,9 @@
 def _encode_evacuation(outcome: EvacuationOutcome) -> tuple[int, dict[str, Any]]:
     if isinstance(outcome, InForce):
         return OK, asdict(outcome)
-    if isinstance(outcome, AskRefused):
+    if isinstance(outcome, RequestRejected):
         return BAD_REQUEST, {"reason": outcome.reason}
-    status = NOT_TAKEN if isinstance(outcome, NotAsked) else UNSETTLED
+    status = NOT_TAKEN if isinstance(outcome, RequestFailed) else UNSETTLED
     return status, {"reason": outcome.reason}
 
 
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/listings.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/listings.py
@@ -1,6 +1,6 @@
-"""Log lines about executors' entries that go and come back, one for all that do at a time.
+"""Log lines about removed and restored directory entries, one for all that change together.
 
-All entries of a site lapse together when the store is away for long enough.
+All entries of a site expire at once when the store is unavailable for long enough.
 """
 
 from __future__ import annotations
@@ -15,37 +15,37 @@
 from .progress import Attempt
 
 GATHER_S = 0.5
-MOST_NAMED = 16
-MOST_RUNS_NAMED = 8
-MOST_GONE = 2_000
-"""Ids of which it is kept since when they have no entry: twice the executors of a large site."""
+MAX_NAMED = 16
+MAX_RUNS_NAMED = 8
+MAX_REMOVED = 2_000
+"""Removed entries whose time of removal is kept."""
 
 
 class Listings:
-    """The entries that have gone or come back in one owner's term."""
+    """Collects entries that are removed or restored in one owner's term, and logs them."""
 
     def __init__(self, term: int) -> None:
         self._term = term
-        self._gone_at: dict[str, float] = {}
-        self._went: dict[str, list[Attempt]] = {}
-        self._came: dict[str, tuple[float, list[Attempt]]] = {}
+        self._removed_at: dict[str, float] = {}
+        self._removed: dict[str, list[Attempt]] = {}
+        self._restored: dict[str, tuple[float, list[Attempt]]] = {}
         self._changed_at: float | None = None
 
-    def note_gone(self, state: ExecutorState) -> None:
-        """Take in that an executor has no entry any more."""
-        self._gone_at[state.id] = trio.current_time()
-        if len(self._gone_at) > MOST_GONE:
-            del self._gone_at[next(iter(self._gone_at))]
-        self._went[state.id] = state.list_held()
+    def note_removed(self, state: ExecutorState) -> None:
+        """Note that an executor's entry was removed."""
+        self._removed_at[state.id] = trio.current_time()
+        if len(self._removed_at) > MAX_REMOVED:
+            del self._removed_at[next(iter(self._removed_at))]
+        self._removed[state.id] = state.list_held()
         self._note_change()
 
-    def note_there(self, executor: str, state: ExecutorState | None) -> None:
-        """Take in that an executor has an entry, which is news if one has gone before."""
-        gone_at = self._gone_at.pop(executor, None)
-        if gone_at is None:
+    def note_listed(self, executor: str, state: ExecutorState | None) -> None:
+        """Note that an executor has an entry; it counts as restored if one was removed before."""
+        removed_at = self._removed_at.pop(executor, None)
+        if removed_at is None:
             return
         held = state.list_held() if state is not None else []
-        self._came[executor] = (trio.current_time() - gone_at, held)
+        self._restored[executor] = (trio.current_time() - removed_at, held)
         self._note_change()
 
     def _note_change(self) -> None:
@@ -53,31 +53,31 @@
             self._changed_at = trio.current_time()
 
     def tell(self) -> None:
-        """Log what has changed, if the first of it did `GATHER_S` ago; to be called often."""
+        """Log the collected changes once `GATHER_S` has passed since the first; call it often."""
         if self._changed_at is None or trio.current_time() - self._changed_at < GATHER_S:
             return
         self._changed_at = None
-        went, self._went = self._went, {}
-        came, self._came = self._came, {}
-        if went:
-            self._log("executor.delisted", went)
-        if came:
-            absent_s = [round(seconds, 3) for seconds, _ in came.values()]
+        removed, self._removed = self._removed, {}
+        restored, self._restored = self._restored, {}
+        if removed:
+            self._log("executor.delisted", removed)
+        if restored:
+            absent_s = [round(seconds, 3) for seconds, _ in restored.values()]
             bounds = [min(absent_s), max(absent_s)]
             self._log(
-                "executor.listed", {n: held for n, (_, held) in came.items()}, absent_s=bounds
+                "executor.listed", {n: held for n, (_, held) in restored.items()}, absent_s=bounds
             )
 
     def _log(self, kind: str, executors: dict[str, list[Attempt]], **more: Any) -> None:
-        """Log a line that names first the executors with most runs."""
+        """Log one line that names the executors with most runs first."""
         names = sorted(executors, key=lambda name: (-len(executors[name]), name))
         held = [attempt for name in names for attempt in executors[name]]
         log_event(
             kind,
-            executors=names[:MOST_NAMED],
+            executors=names[:MAX_NAMED],
             count=len(names),
             runs=len(held),
-            held=_describe(held[:MOST_RUNS_NAMED]),
+            held=_describe(held[:MAX_RUNS_NAMED]),
             term=self._term,
             **more,
         )
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/news.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/news.py
@@ -68,7 +68,7 @@
             self._host.store.is_answering,
             term,
             owner.host if owner else "",
-            self._host.evacuations.tell(),
+            self._host.evacuations.encode(),
         )
 
     def others(self) -> list[str]:
@@ -155,7 +155,7 @@
             self._host.note_malformed(Operation.NEWS, "", "it is no news")
             return
         self.heard[news.host] = HeardNews(news, lasting_time())
-        self._host.evacuations.take_told(news.evacuations, news.host)
+        self._host.evacuations.merge_encoded(news.evacuations, news.host)
         if news.version > self._host.configuration.state.version:
             await self._fetch_configuration()
 
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/peering.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/peering.py
@@ -24,7 +24,7 @@
 class News:
     """What a host tells its peers of itself; `term` and `owner` name the owner it knows.
 
-    `evacuations` are the asks it knows, as `Evacuations.tell` returns them.
+    `evacuations` are the requests it knows, as `Evacuations.encode` returns them.
     """
 
     host: str
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/recorder.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/recorder.py
@@ -1,7 +1,7 @@
-"""The owner's writes of progress: many jobs in one transaction, under the owner's key.
+"""The owner's writes of job progress: batched transactions, fenced by the owner's key.
 
-The transactions of one round go out side by side: an end is told to callers and to its executor
-only once it is recorded, and two hundred jobs fill fourteen transactions.
+The transactions of one round run concurrently, as callers and executors learn of a run's end only
+after it is recorded.
 """
 
 from __future__ import annotations
@@ -20,20 +20,20 @@
 from .task_names import Names
 
 PROGRESS_PREFIX = "progress/"
-JOBS_EACH = 15
-PAUSE_S = 0.15
+JOBS_PER_TRANSACTION = 15
+RETRY_PAUSE_S = 0.15
 ROUND_S = 0.05
-"""After so long, what was marked since goes out beside writes that have no answer yet: a lost
-answer takes 0.9 s, and starts wait for their executors to be named. The store answers in 4 ms."""
-SLOW_FACTOR = 4.0
-"""A write is sent again after so many times what answers take of late, if that is longer."""
-USUAL_WEIGHT = 0.2
-MOST_WAIT_S = 0.3
-"""At most so long for the first sending: urgent work is to begin within about that."""
+"""After this time the next round starts beside writes without an answer, as starts wait for their
+executors to be recorded."""
+RESEND_FACTOR = 4.0
+"""A write is resent after this multiple of the recent mean latency, if longer than `ROUND_S`."""
+LATENCY_WEIGHT = 0.2
+MAX_RESEND_DELAY_S = 0.3
+"""Upper bound of the delay before a write is resent; urgent work must start about that fast."""
 
 
 class Deposed(Exception):
-    """The owner's key has another revision: someone else owns the cell."""
+    """The owner's key has another revision, so another host owns the cell."""
 
 
 def progress_key(job_id: str) -> str:
@@ -41,59 +41,58 @@
     return f"{PROGRESS_PREFIX}{job_id}"
 
 
-def _change_nothing(jobs: Collection[JobState]) -> None:
+def _do_nothing(jobs: Collection[JobState]) -> None:
     pass
 
 
 @dataclass(slots=True)
 class Recorder:
-    """Writes jobs that were marked, in batches, until each is in the store.
+    """Writes marked jobs in batches until each is in the store.
 
-    `guard` is the owner's key and its revision: a write of a past owner never takes effect,
-    however late it arrives. Each job's own revision keeps our late writes from undoing
-    newer ones. `update_places` brings what jobs' places name up to date before they are written.
-    `relay` is another way to the store.
-    `_open` holds, for each job that was marked, the first mark that is not in the store.
+    `guard` is the owner's key and its revision, which fences off delayed writes of past owners.
+    Each job's own revision keeps a delayed write from undoing a newer one. `update_places` updates
+    the executors that jobs name before they are written. `relay` reaches the store through a peer.
+    `_unwritten` holds, for each job, the number of its first mark that is not yet stored.
     """
 
     store: KeyStore
     guard: tuple[str, int]
-    update_places: Callable[[Collection[JobState]], None] = _change_nothing
+    update_places: Callable[[Collection[JobState]], None] = _do_nothing
     relay: StoreRelay | None = None
     dirty: dict[str, JobState] = field(default_factory=dict)
     marked: int = 0
-    _open: dict[str, int] = field(default_factory=dict)
+    _unwritten: dict[str, int] = field(default_factory=dict)
     _in_flight: set[str] = field(default_factory=set)
-    _usual_s: float = 0.0
+    _mean_latency_s: float = 0.0
     _paused_until: float = 0.0
     _work: trio.Event = field(default_factory=trio.Event)
-    _progressed: trio.Event = field(default_factory=trio.Event)
+    _written: trio.Event = field(default_factory=trio.Event)
 
     def mark(self, job: JobState) -> None:
-        """Have a job written soon."""
+        """Schedule a job to be written."""
         self.marked += 1
         self.dirty[job.spec.id] = job
-        self._open.setdefault(job.spec.id, self.marked)
+        self._unwritten.setdefault(job.spec.id, self.marked)
         self._work.set()
 
     async def wait_recorded(self) -> None:
-        """Wait until everything that is marked by now is in the store."""
+        """Wait until everything marked before this call is in the store."""
         wanted = self.marked
-        while min(self._open.values(), default=wanted + 1) <= wanted:
-            await self._progressed.wait()
+        while min(self._unwritten.values(), default=wanted + 1) <= wanted:
+            await self._written.wait()
 
     async def wait_named(
         self, job: JobState, wanted: Names, starts: Collection[OpenStart] = ()
     ) -> None:
-        """Wait until the store names executors for tasks of a job, which is to be marked before.
+        """Wait until the store has the executors of a job's tasks, and the given starts.
 
-        And until it has the starts that are to go out there.
+        The job must have been marked before.
         """
         while not (job.places.covers(wanted) and job.places.covers_starts(starts)):
-            await self._progressed.wait()
+            await self._written.wait()
 
     async def run(self) -> None:
-        """Write until cancelled; raises `Deposed` when another owner is there."""
+        """Write until cancelled; raises `Deposed` once another host owns the cell."""
         async with trio.open_nursery() as nursery:
             while True:
                 await self._work.wait()
@@ -102,10 +101,13 @@
                 await self._write_round(nursery)
 
     async def _write_round(self, nursery: trio.Nursery) -> None:
-        """Begin to write what is marked; wait for it, but not for a write that has no answer."""
+        """Start writing the marked jobs, and wait for the writes for at most `ROUND_S`."""
         ready = [job for name, job in self.dirty.items() if name not in self._in_flight]
         self.dirty = {name: self.dirty[name] for name in self._in_flight & self.dirty.keys()}
-        parts = [ready[first : first + JOBS_EACH] for first in range(0, len(ready), JOBS_EACH)]
+        parts = [
+            ready[first : first + JOBS_PER_TRANSACTION]
+            for first in range(0, len(ready), JOBS_PER_TRANSACTION)
+        ]
         done = [trio.Event() for _ in parts]
         for jobs, event in zip(parts, done, strict=True):
             self._in_flight.update(job.spec.id for job in jobs)
@@ -115,7 +117,7 @@
                 await event.wait()
 
     async def _write(self, jobs: list[JobState], done: trio.Event) -> None:
-        """Write some jobs; they go out again with all others if the store does not do it."""
+        """Write some jobs; mark them again if the write failed."""
         is_written = await self._write_once(jobs)
         for job in jobs:
             self._in_flight.discard(job.spec.id)
@@ -147,21 +149,21 @@
                 job.crash_notes_recorded = notes
                 job.places.end_write(record.places, record.starts, record.starts_left_s)
                 self._note_written(job, marked)
-            self._progressed.set()
-            self._progressed = trio.Event()
+            self._written.set()
+            self._written = trio.Event()
             return True
         if isinstance(outcome, Mismatch):
-            self._take_revisions(jobs, outcome.items)
+            self._adopt_revisions(jobs, outcome.items)
             return False
         assert isinstance(outcome, Unavailable | Unknown), "progress has no lease"
         log_event("record.delayed", jobs=len(jobs), reason=outcome.reason)
-        self._paused_until = trio.current_time() + PAUSE_S
+        self._paused_until = trio.current_time() + RETRY_PAUSE_S
         return False
 
     async def _commit(self, transaction: Transaction) -> CommitOutcome:
-        """Send a write, and once more if it has no answer soon or the store turns it away.
+        """Send a write, and resend it once if it is slow or fails.
 
-        The second goes by the other way if there is one; of equal writes one takes effect.
+        The second copy goes through the relay if that is open; only one copy takes effect.
         """
         sender, receiver = trio.open_memory_channel[CommitOutcome](2)
         outcome: CommitOutcome = Unknown("not sent")
@@ -170,14 +172,18 @@
             began = trio.current_time()
             answer = await commit(transaction)
             if isinstance(answer, Committed):
-                # Its own time alone: the wait before a second sending would lengthen the next one.
-                self._usual_s += USUAL_WEIGHT * (trio.current_time() - began - self._usual_s)
+                # Measure this copy alone, as including the resend delay would make it grow.
+                self._mean_latency_s += LATENCY_WEIGHT * (
+                    trio.current_time() - began - self._mean_latency_s
+                )
             await sender.send(answer)
 
         async with trio.open_nursery() as nursery:
             nursery.start_soon(send, self.store.commit)
             open_sends = 1
-            with trio.move_on_after(min(MOST_WAIT_S, max(ROUND_S, SLOW_FACTOR * self._usual_s))):
+            with trio.move_on_after(
+                min(MAX_RESEND_DELAY_S, max(ROUND_S, RESEND_FACTOR * self._mean_latency_s))
+            ):
                 outcome = await receiver.receive()
                 open_sends = 0
             other = self.relay if self.relay is not None and self.relay.is_open else None
@@ -192,14 +198,14 @@
         return outcome
 
     def _note_written(self, job: JobState, marked: int) -> None:
-        """Take in that all that was marked of a job up to `marked` is in the store."""
+        """Note that all marks of a job up to `marked` are in the store."""
         if job.spec.id in self.dirty:
-            self._open[job.spec.id] = marked + 1
+            self._unwritten[job.spec.id] = marked + 1
         else:
-            self._open.pop(job.spec.id, None)
+            self._unwritten.pop(job.spec.id, None)
 
-    def _take_revisions(self, jobs: list[JobState], items: dict[str, Item]) -> None:
-        """Learn what an earlier write of ours, whose answer was lost, has done."""
+    def _adopt_revisions(self, jobs: list[JobState], items: dict[str, Item]) -> None:
+        """Adopt the stored revisions, which an earlier unanswered write may have changed."""
         key, revision = self.guard
         found = items.get(key)
         if found is None or found.revision != revision:
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/retention.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/retention.py
@@ -11,7 +11,7 @@
 from .recorder import progress_key
 
 PERIOD_S = 20.0
-JOBS_EACH = 15
+JOBS_PER_TRANSACTION = 15
 
 
 async def remove_old_jobs(cell: OwnedCell) -> None:
@@ -19,8 +19,8 @@
     while True:
         await trio.sleep(PERIOD_S)
         old = _find_old(cell)
-        for start in range(0, len(old), JOBS_EACH):
-            await _remove(cell, old[start : start + JOBS_EACH])
+        for start in range(0, len(old), JOBS_PER_TRANSACTION):
+            await _remove(cell, old[start : start + JOBS_PER_TRANSACTION])
 
 
 def _find_old(cell: OwnedCell) -> list[JobState]:
--- a/packages/heronthread-dispatch/tests/test_directory.py
+++ b/packages/heronthread-dispatch/tests/test_directory.py
@@ -1,4 +1,4 @@
-"""Entries that name no executor to use: no new work there, and nothing lost or run twice."""
+"""Invalid directory entries: no new work for their executors, and nothing lost or run twice."""
 
 import json
 
@@ -19,27 +19,27 @@
     assert check_foreign(site.executors, site.foreign, site.trouble) == []
 
 
-async def _hand_in(site: EmulatedSite, job: str, **more: object) -> object:
+async def _submit(site: EmulatedSite, job: str, **more: object) -> object:
     host = next(iter(site.hosts.values()))
     return await host.requests.accept(site.make_job(job, **more), 2.0)  # type: ignore[arg-type]
 
 
-def _owner(site: EmulatedSite):
+def _get_owner(site: EmulatedSite):
     owner = site.hosts[site.owner_name()].owner
     assert owner is not None
     return owner
 
 
-async def test_an_executor_whose_entry_turns_bad_gets_no_new_work_until_it_is_good(
+async def test_an_executor_gets_no_new_work_while_its_entry_is_invalid(
     autojump_clock: Clock,
 ) -> None:
     async with EmulatedSite.open(hosts=2, executors=1) as site:
         await site.wait_for_owner()
-        await _hand_in(site, "before", work_s=6.0)
+        await _submit(site, "before", work_s=6.0)
         await trio.sleep(1.0)
         span = site.write_foreign("e0", OTHER_STATE)
         await trio.sleep(1.0)
-        await _hand_in(site, "after", work_s=1.0)
+        await _submit(site, "after", work_s=1.0)
         await trio.sleep(10.0)
         assert await site.find_status("before") is JobStatus.SUCCEEDED
         assert not site.executors.starts(TaskKey("after", 0, 0))
@@ -50,12 +50,12 @@
         _check(site)
 
 
-async def test_a_new_owner_that_finds_only_the_bad_entry_runs_nothing_twice(
+async def test_a_new_owner_that_reads_only_the_invalid_entry_runs_nothing_twice(
     autojump_clock: Clock,
 ) -> None:
     async with EmulatedSite.open(hosts=3, executors=2) as site:
         name = await site.wait_for_owner()
-        await _hand_in(site, "a", count=16, work_s=9.0)
+        await _submit(site, "a", count=16, work_s=9.0)
         await trio.sleep(1.0)
         site.write_foreign("e0", b"\xff")
         site.kill_host(name)
@@ -64,7 +64,7 @@
         _check(site)
 
 
-async def test_a_bad_entry_is_told_once_while_it_lasts_and_when_it_ends(
+async def test_an_invalid_entry_is_logged_once_and_again_when_it_is_valid(
     autojump_clock: Clock,
 ) -> None:
     with captured_events() as events:
@@ -75,14 +75,14 @@
                 await trio.sleep(1.5)
             site.write_back(span)
             await trio.sleep(1.0)
-            assert _owner(site).directory.bad_count == 0
+            assert _get_owner(site).directory.invalid_count == 0
             assert site.hosts["h0"].statistics.counts["bad_entries", "unknown state"] == 1
     kinds = [event["message_type"] for event in events]
     assert kinds.count("entry.refused") == 1
     assert kinds.count("entry.good_again") == 1
 
 
-async def test_a_storm_of_bad_entries_is_told_in_a_few_lines_and_forgotten(
+async def test_many_invalid_entries_are_logged_in_a_few_lines_and_forgotten(
     autojump_clock: Clock,
 ) -> None:
     with captured_events() as events:
@@ -90,51 +90,51 @@
             await site.wait_for_owner()
             spans = [site.write_foreign(f"x{number}", b"{}") for number in range(1_000)]
             await trio.sleep(2.0)
-            assert _owner(site).directory.bad_count == 1_000
+            assert _get_owner(site).directory.invalid_count == 1_000
             for span in spans:
                 site.write_back(span)
             await trio.sleep(2.0)
-            assert _owner(site).directory.bad_count == 0
-            assert set(_owner(site).cell.executors) == {"e0", "e1"}
+            assert _get_owner(site).directory.invalid_count == 0
+            assert set(_get_owner(site).cell.executors) == {"e0", "e1"}
     assert sum(event["message_type"] == "entry.refused" for event in events) < 5
 
 
 async def test_an_entry_that_names_another_address_is_not_followed(autojump_clock: Clock) -> None:
-    """Asked elsewhere, somebody else would answer and its runs count as ended while they go on."""
+    """Another executor would answer there, and runs that go on would count as ended."""
     async with EmulatedSite.open(hosts=1, executors=2) as site:
         await site.wait_for_owner()
-        await _hand_in(site, "a", count=8, work_s=8.0)
+        await _submit(site, "a", count=8, work_s=8.0)
         await trio.sleep(1.0)
         entry = json.loads(site.store.items[ENTRIES + "e0"].value) | {"pool": "other"}
         site.write_foreign("e0", json.dumps(entry).encode())
         await trio.sleep(1.0)
-        assert _owner(site).cell.executors["e0"].is_set_aside
-        assert _owner(site).cell.executors["e0"].executor.pool == "pool"
+        assert _get_owner(site).cell.executors["e0"].is_set_aside
+        assert _get_owner(site).cell.executors["e0"].executor.pool == "pool"
         await trio.sleep(10.0)
         assert await site.find_status("a") is JobStatus.SUCCEEDED
         _check(site)
 
 
-async def test_a_pool_that_is_named_later_is_used_then(autojump_clock: Clock) -> None:
+async def test_a_pool_that_is_configured_later_is_used_then(autojump_clock: Clock) -> None:
     async with EmulatedSite.open(hosts=1, executors=1) as site:
         await site.wait_for_owner()
         entry = json.loads(site.store.items[ENTRIES + "e0"].value) | {"pool": "later"}
         site.store.put(ENTRIES + "e9", json.dumps(entry).encode())
         await trio.sleep(1.0)
-        assert "e9" not in _owner(site).cell.executors
+        assert "e9" not in _get_owner(site).cell.executors
         site.pools = ("later",)
         site.configure(2)
         await trio.sleep(1.5)
-        assert "e9" in _owner(site).cell.executors
+        assert "e9" in _get_owner(site).cell.executors
 
 
-async def test_one_bad_beat_changes_nothing_of_what_a_pool_can_hold(autojump_clock: Clock) -> None:
+async def test_one_invalid_heartbeat_does_not_shrink_a_pool(autojump_clock: Clock) -> None:
     async with EmulatedSite.open(hosts=1, executors=2) as site:
         await site.wait_for_owner()
         await trio.sleep(60.0)
         span = site.write_foreign("e0", OTHER_STATE)
         await trio.sleep(1.5)
-        outcome = await _hand_in(site, "wide", count=2, accelerators=8, gang=True)
+        outcome = await _submit(site, "wide", count=2, accelerators=8, gang=True)
         assert isinstance(outcome, Taken)
         site.write_back(span)
         await trio.sleep(6.0)
@@ -142,11 +142,10 @@
         _check(site)
 
 
-async def test_an_inherited_executor_is_asked_where_its_entry_says(autojump_clock: Clock) -> None:
-    """A new owner refused all executors that an earlier one had reached by other addresses.
-
-    Its log had `entry.refused` "another place" for each of them, and no `start.decided` after it.
-    """
+async def test_an_inherited_executor_is_probed_at_the_address_of_its_entry(
+    autojump_clock: Clock,
+) -> None:
+    """Guards against a new owner that refuses executors whose recorded address differs."""
     async with EmulatedSite.open(hosts=2, executors=2) as site:
         name = await site.wait_for_owner()
         await trio.sleep(1.0)
@@ -156,19 +155,18 @@
         site.store.put(USED_KEY, json.dumps(seen).encode())
         await site.wait_for_owner()
         await trio.sleep(1.0)
-        await _hand_in(site, "a", work_s=1.0)
+        await _submit(site, "a", work_s=1.0)
         await trio.sleep(4.0)
         assert await site.find_status("a") is JobStatus.SUCCEEDED
         _check(site)
 
 
-async def test_a_bad_entry_outlasts_the_life_that_an_earlier_entry_announced(
+async def test_an_invalid_entry_holds_for_a_life_that_an_earlier_entry_named(
     autojump_clock: Clock,
 ) -> None:
-    """A good entry of another life was read, then a bad one, and only then did that life report.
+    """A new life that reports after its entry turned invalid must get no work.
 
-    The new life was taken as described by the good entry: soak seeds 116 and 158 started work at
-    executors 3 s and more after their entries had turned bad.
+    The valid entry read before must not be used to describe the new life.
     """
     async with EmulatedSite.open(hosts=1, executors=1) as site:
         host = site.hosts[await site.wait_for_owner()]
--- a/packages/heronthread-dispatch/tests/test_domains.py
+++ b/packages/heronthread-dispatch/tests/test_domains.py
@@ -1,4 +1,4 @@
-"""What operators are shown of failure domains."""
+"""Failure domains in the overview for operators."""
 
 import trio
 from heronthread_dispatch.overview import describe_cell
--- a/packages/heronthread-dispatch/tests/test_listings.py
+++ b/packages/heronthread-dispatch/tests/test_listings.py
@@ -1,4 +1,4 @@
-"""Log lines about entries that go and come back."""
+"""Log lines about removed and restored directory entries."""
 
 from typing import Any
 
@@ -14,7 +14,7 @@
     return [event for event in events if event["message_type"] in KINDS]
 
 
-async def test_an_entry_that_goes_and_comes_back_names_the_runs_there(
+async def test_a_removed_and_restored_entry_is_logged_with_its_runs(
     autojump_clock: Clock,
 ) -> None:
     async with EmulatedSite.open(hosts=1, executors=1) as site:
@@ -34,8 +34,8 @@
         assert 1.9 < back["absent_s"][0] == back["absent_s"][1] < 2.5
 
 
-async def test_entries_that_go_together_are_one_line(autojump_clock: Clock) -> None:
-    """All of 176 go and come back, with ids of 36 characters and a job's runs at each."""
+async def test_entries_removed_together_share_one_line(autojump_clock: Clock) -> None:
+    """176 entries with long ids and running tasks must fit one line."""
     names, lines = [f"{number:036}" for number in range(176)], LineWriter()
     async with EmulatedSite.open(hosts=1, executors=0) as site:
         for name in names:
@@ -62,7 +62,7 @@
             assert len(lines.waiting[-1]) < WHOLE_BYTES
 
 
-async def test_entries_that_are_written_again_and_again_are_no_news(autojump_clock: Clock) -> None:
+async def test_rewritten_entries_are_not_logged(autojump_clock: Clock) -> None:
     async with EmulatedSite.open(hosts=2) as site:
         await site.wait_for_owner()
         with captured_events() as events:
--- a/packages/heronthread-dispatch/tests/test_recorder.py
+++ b/packages/heronthread-dispatch/tests/test_recorder.py
@@ -1,4 +1,4 @@
-"""Progress is in the store before it is told, and many jobs' progress takes one answer's time."""
+"""Recorder: batching, concurrent writes, resending and fencing of progress writes."""
 
 import pytest
 import trio
@@ -6,7 +6,13 @@
 from heronthread_dispatch.model import JobSpec, Queue, Resources, StepSpec
 from heronthread_dispatch.progress import JobState, make_job
 from heronthread_dispatch.record import JobStatus
-from heronthread_dispatch.recorder import JOBS_EACH, PAUSE_S, Deposed, Recorder, progress_key
+from heronthread_dispatch.recorder import (
+    JOBS_PER_TRANSACTION,
+    RETRY_PAUSE_S,
+    Deposed,
+    Recorder,
+    progress_key,
+)
 from heronthread_dispatch.relay import StoreRelay
 from heronthread_emulator import captured_events
 from heronthread_emulator.store import EmulatedStore, StoreView
@@ -34,7 +40,7 @@
     async with trio.open_nursery() as nursery:
         recorder, store = _make_recorder(nursery)
         nursery.start_soon(recorder.run)
-        jobs = _make_jobs(JOBS_EACH * 10)
+        jobs = _make_jobs(JOBS_PER_TRANSACTION * 10)
         for job in jobs:
             recorder.mark(job)
         began = trio.current_time()
@@ -45,7 +51,7 @@
         nursery.cancel_scope.cancel()
 
 
-async def test_what_is_marked_during_a_round_is_in_the_next_one(autojump_clock: Clock) -> None:
+async def test_jobs_marked_during_a_round_are_in_the_next_one(autojump_clock: Clock) -> None:
     async with trio.open_nursery() as nursery:
         recorder, _ = _make_recorder(nursery)
         nursery.start_soon(recorder.run)
@@ -63,7 +69,7 @@
     async with trio.open_nursery() as nursery:
         recorder, store = _make_recorder(nursery)
         store.commit(Transaction(puts=(Put(OWNER_KEY, b"another"),)))
-        for job in _make_jobs(JOBS_EACH * 3):
+        for job in _make_jobs(JOBS_PER_TRANSACTION * 3):
             recorder.mark(job)
         with pytest.raises(ExceptionGroup) as raised:
             await recorder.run()
@@ -71,8 +77,8 @@
         assert not any(key.startswith("progress/") for key in store.items)
 
 
-async def test_writes_that_fail_go_out_together(autojump_clock: Clock) -> None:
-    """Each batch repeated by itself while the store was away: 378 writes in 7 s, 45 before that."""
+async def test_failed_writes_are_retried_together(autojump_clock: Clock) -> None:
+    """Failed batches must not each retry on their own while the store is away."""
     async with trio.open_nursery() as nursery:
         recorder, store = _make_recorder(nursery)
         nursery.start_soon(recorder.run)
@@ -82,14 +88,14 @@
                 recorder.mark(job)
                 await trio.sleep(0.1)
         delayed = [event for event in events if event["message_type"] == "record.delayed"]
-        assert len(delayed) <= 6.0 / PAUSE_S * (60 / JOBS_EACH)
+        assert len(delayed) <= 6.0 / RETRY_PAUSE_S * (60 / JOBS_PER_TRANSACTION)
         store.is_down = False
         await recorder.wait_recorded()
         assert len([key for key in store.items if key.startswith("progress/")]) == 60
         nursery.cancel_scope.cancel()
 
 
-async def test_a_write_without_an_answer_holds_no_other_up(autojump_clock: Clock) -> None:
+async def test_a_write_without_an_answer_does_not_block_others(autojump_clock: Clock) -> None:
     async with trio.open_nursery() as nursery:
         store = EmulatedStore()
         store.latency_s = 0.004
@@ -109,8 +115,8 @@
         nursery.cancel_scope.cancel()
 
 
-class _OtherWay(StoreRelay):
-    """Answers each write in some ms."""
+class _FastRelay(StoreRelay):
+    """Relay that answers each write within milliseconds."""
 
     def __init__(self) -> None:
         self._revision = 0
@@ -125,13 +131,13 @@
         return Committed(self._revision)
 
 
-async def test_the_second_sending_stays_soon_where_the_first_never_has_an_answer(
+async def test_the_resend_delay_does_not_grow_without_answers(
     autojump_clock: Clock,
 ) -> None:
-    """Its own delay was taken for what answers take: 0.06 s at first, 0.91 s from the eighth on."""
+    """The resend delay must not count as latency, or it would grow with each write."""
     async with trio.open_nursery() as nursery:
         view = StoreView(EmulatedStore(), nursery, is_silent=True)
-        recorder = Recorder(view, (OWNER_KEY, 1), relay=_OtherWay())
+        recorder = Recorder(view, (OWNER_KEY, 1), relay=_FastRelay())
         nursery.start_soon(recorder.run)
         job = _make_jobs(1)[0]
         for _ in range(16):
