--- a/benchmarks/histories.py
+++ b/benchmarks/histories.py
@@ -157,7 +157,7 @@
 
 def _apply_id(cluster: Cluster, generation: int) -> str:
     for running in cluster.hosts.values():
-        winner = running.host.configuration.winners.get(generation)
+        winner = running.host.configuration.applies_by_generation.get(generation)
         if winner is not None:
             return winner[0]
     return ""
--- a/benchmarks/plants.py
+++ b/benchmarks/plants.py
@@ -96,7 +96,7 @@
     def add(self: AnswerCollector, answer: MemberAnswer) -> Any:
         received = self.answers.get(answer.attempt)
         if received is None:
-            return self._judge(answer) or None
+            return self._find_drop_reason(answer) or None
         received[len(received)] = answer.content
         if len(received) < self.expected[answer.attempt]:
             return None
--- a/benchmarks/policy.py
+++ b/benchmarks/policy.py
@@ -17,7 +17,7 @@
 
 import fire
 from heronthread_cli.table import format_table
-from heronthread_scheduling import NAMED, Policy, Pool
+from heronthread_scheduling import NAMED_POLICIES, Policy, Pool
 
 from .replay import Outcome, Replay
 from .workload import WORKLOADS, Workload, draw_arrivals, get_cell, load_workload
@@ -52,9 +52,9 @@
 def choose_policy(name: str, workload: Workload) -> Policy:
     """Return a named policy; our own with the weights that the workload's file declares."""
     if name not in OWN:
-        return NAMED[name]
+        return NAMED_POLICIES[name]
     declared = workload.state.policy.to_policy()
-    return replace(declared, name=name, estimate=NAMED[name].estimate)
+    return replace(declared, name=name, estimate=NAMED_POLICIES[name].estimate)
 
 
 def get_workload(name: str) -> Workload:
--- a/benchmarks/replay.py
+++ b/benchmarks/replay.py
@@ -20,7 +20,7 @@
     Start,
     find_violations,
 )
-from heronthread_scheduling.capacity import count_usable
+from heronthread_scheduling.capacity import count_usable_units
 from heronthread_scheduling.cell import CellSpec
 
 from .workload import Arrival, Loss, Workload, draw_arrivals, get_cell
@@ -204,7 +204,7 @@
     def _lose(self, loss: Loss) -> Steps:
         yield self.environment.timeout(loss.at)
         for name in loss.workers:
-            for gang in self.scheduler.lose_worker(name):
+            for gang in self.scheduler.mark_worker_lost(name):
                 if gang.job.id in self.running:
                     self._interrupt(gang, keep=False)
                 elif gang.job.id in self.scheduler.gangs:
@@ -213,7 +213,7 @@
         self._plan_pass()
         yield self.environment.timeout(loss.back_after_s)
         for name in loss.workers:
-            self.scheduler.return_worker(name)
+            self.scheduler.restore_worker(name)
         self._plan_pass()
 
     def _occupy(self, gang: Gang, sign: int) -> None:
@@ -230,7 +230,7 @@
         if reference is not None:
             lost = self.scheduler.pools[Pool.ACCELERATORS].capacity.lost
             free = [0 if lost[i] else max(0, n) for i, n in enumerate(self._free)]
-            self._unusable = sum(free) - count_usable(self.spec.topology, free, reference)
+            self._unusable = sum(free) - count_usable_units(self.spec.topology, free, reference)
 
     def _reference(self) -> Shape | None:
         """The largest waiting or guaranteed shape."""
@@ -240,7 +240,7 @@
         )
 
     def _audit(self) -> None:
-        gangs = [self._seen(gang) for gang in self.scheduler.gangs.values() if not gang.leaving]
+        gangs = [self._seen(gang) for gang in self.scheduler.gangs.values() if not gang.is_stopping]
         if self.scheduler.unbacked():
             return
         for pool in Pool:
--- a/examples/library/configuration.py
+++ b/examples/library/configuration.py
@@ -9,7 +9,7 @@
     ana, luis, late = Configuration(), Configuration(), Configuration()
     print("ana:", await log.apply(ana, {"quota": b"10"}, "apply-1", "ana"))
     print("luis:", await log.apply(luis, {"quota": b"99"}, "apply-2", "luis"))
-    delta = ana.changes_since(late.generation)
+    delta = ana.delta_since(late.generation)
     assert delta is not None
     late.adopt_delta(delta)
     print("in force:", late.generation, late.sections)
--- a/examples/library/lease.py
+++ b/examples/library/lease.py
@@ -1,7 +1,7 @@
 """Two hosts contend for a cell; the first releases its lease and the second takes over."""
 
 import trio
-from heronthread_coordination import CellLease, MemoryStore, Standing
+from heronthread_coordination import CellLease, LeaseState, MemoryStore
 
 
 async def main() -> None:
@@ -9,13 +9,13 @@
     async with trio.open_nursery() as nursery:
         async with CellLease(store, "cell", "first", "10.0.0.1:1", duration_s=1.0) as first:
             nursery.start_soon(first.run)
-            while first.standing is not Standing.OWNER:
+            while first.state is not LeaseState.OWNER:
                 await first.changed.wait()
             print("first owns the cell in epoch", first.epoch)
             second = CellLease(store, "cell", "second", "10.0.0.2:1", duration_s=1.0)
             nursery.start_soon(second.run)
             await trio.sleep(0.5)
-        while second.standing is not Standing.OWNER:
+        while second.state is not LeaseState.OWNER:
             await trio.sleep(0.05)
         print("second owns the cell in epoch", second.epoch)
         nursery.cancel_scope.cancel()
--- a/examples/library/limits.py
+++ b/examples/library/limits.py
@@ -8,7 +8,7 @@
     limits = CustomerLimits(per_customer=1)
     print(limits.enter("till"), limits.enter("till"))
     budget = RetryBudget(fraction=0.1, reserve=1)
-    budget.note_call()
+    budget.record_call()
     print("retries allowed:", budget.try_retry(), budget.try_retry())
     drain = Drain()
     with drain.request():
--- a/packages/heronthread-cli/src/heronthread_cli/fragmentation.py
+++ b/packages/heronthread-cli/src/heronthread_cli/fragmentation.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 
 from heronthread_scheduling import Pool, Shape, Topology
-from heronthread_scheduling.capacity import count_usable
+from heronthread_scheduling.capacity import count_usable_units
 
 from .history import AttemptRun
 
@@ -38,7 +38,7 @@
     samples = []
     for at, worker, units in changes:
         free[worker] += units
-        unusable = sum(free) - count_usable(topology, free, reference)
+        unusable = sum(free) - count_usable_units(topology, free, reference)
         samples.append(Sample(at, total - sum(free), unusable))
     return samples
 
--- a/packages/heronthread-coordination/src/heronthread_coordination/__init__.py
+++ b/packages/heronthread-coordination/src/heronthread_coordination/__init__.py
@@ -1,6 +1,6 @@
 """Coordination library; it needs trio and a store, but no daemon."""
 
-from .answer import AnswerCollector, Drop, MemberAnswer, make_answer
+from .answer import AnswerCollector, DropReason, MemberAnswer, make_answer
 from .budget import Backoff, CircuitBreaker, RetryBudget, TokenBucket
 from .configuration import (
     Applied,
@@ -12,7 +12,7 @@
 )
 from .drain import Drain, Draining
 from .histogram import Histograms, Key, Measure, Summary
-from .lease import CellLease, OwnerRecord, Standing
+from .lease import CellLease, LeaseState, OwnerRecord
 from .ledger import Committed, Deposed, Ledger, Record
 from .limit import Admitted, CustomerLimits, Overloaded, TargetLimits
 from .log import Appended, LogContents, LogEntry, NumberedLog, Taken
@@ -49,7 +49,7 @@
     "Deposed",
     "Drain",
     "Draining",
-    "Drop",
+    "DropReason",
     "Entry",
     "Histograms",
     "Key",
@@ -66,7 +66,7 @@
     "OwnerRecord",
     "Record",
     "RetryBudget",
-    "Standing",
+    "LeaseState",
     "Store",
     "StoreFaults",
     "Summary",
--- a/packages/heronthread-coordination/src/heronthread_coordination/answer.py
+++ b/packages/heronthread-coordination/src/heronthread_coordination/answer.py
@@ -8,7 +8,7 @@
 import xxhash
 
 
-class Drop(StrEnum):
+class DropReason(StrEnum):
     """Reason for dropping an answer."""
 
     FOREIGN = "foreign"
@@ -46,7 +46,7 @@
 
     expected: dict[str, int] = field(default_factory=dict)
     answers: dict[str, dict[int, str]] = field(default_factory=dict)
-    dropped: dict[Drop, int] = field(default_factory=lambda: dict.fromkeys(Drop, 0))
+    dropped: dict[DropReason, int] = field(default_factory=lambda: dict.fromkeys(DropReason, 0))
     ended: set[str] = field(default_factory=set)
 
     def open(self, attempt: str, members: int) -> None:
@@ -60,9 +60,9 @@
             self.answers.pop(attempt, None)
             self.ended.add(attempt)
 
-    def add(self, answer: MemberAnswer) -> str | Drop | None:
+    def add(self, answer: MemberAnswer) -> str | DropReason | None:
         """Add an answer; return the joined answers once those of all members have arrived."""
-        drop = self._judge(answer)
+        drop = self._find_drop_reason(answer)
         if drop is not None:
             self.dropped[drop] += 1
             return drop
@@ -72,15 +72,15 @@
             return None
         return "".join(received[member] for member in sorted(received))
 
-    def _judge(self, answer: MemberAnswer) -> Drop | None:
+    def _find_drop_reason(self, answer: MemberAnswer) -> DropReason | None:
         if answer.attempt in self.ended:
-            return Drop.LATE
+            return DropReason.LATE
         members = self.expected.get(answer.attempt)
         if members is None or not 0 <= answer.member < members:
-            return Drop.FOREIGN
+            return DropReason.FOREIGN
         if answer.member in self.answers[answer.attempt]:
-            return Drop.DUPLICATE
+            return DropReason.DUPLICATE
         whole = len(answer.content.encode()) == answer.length
         if not whole or compute_answer_digest(answer.content) != answer.digest:
-            return Drop.PARTIAL
+            return DropReason.PARTIAL
         return None
--- a/packages/heronthread-coordination/src/heronthread_coordination/budget.py
+++ b/packages/heronthread-coordination/src/heronthread_coordination/budget.py
@@ -47,7 +47,7 @@
         self.calls = 0
         self.retries = 0
 
-    def note_call(self) -> None:
+    def record_call(self) -> None:
         """Record the first attempt of a call."""
         self.calls += 1
         self._credit = min(self.reserve + 100.0, self._credit + self.fraction)
@@ -69,7 +69,7 @@
     factor: float = 2.0
     max_s: float = 2.0
 
-    def choose_wait(self, attempt: int, source: random.Random) -> float:
+    def choose_delay_s(self, attempt: int, source: random.Random) -> float:
         """Return the seconds to wait before retry number `attempt`, counted from 0."""
         bound = min(self.max_s, self.first_s * self.factor**attempt)
         return source.uniform(0, bound)
@@ -95,7 +95,7 @@
         """Whether the breaker is open or half open."""
         return self._bad_calls >= self.failures
 
-    def try_enter(self) -> bool:
+    def allow_call(self) -> bool:
         """Return whether a call may be made now."""
         if not self.is_open:
             return True
--- a/packages/heronthread-coordination/src/heronthread_coordination/configuration.py
+++ b/packages/heronthread-coordination/src/heronthread_coordination/configuration.py
@@ -95,14 +95,14 @@
 class Configuration:
     """The configuration of one host; its generation only increases.
 
-    `applies` and `winners` map recent apply ids to generations, and generations to apply ids
-    and operators. `wake` is set and replaced each time a generation is adopted.
+    `applies` maps recent apply ids to generations; `applies_by_generation` maps generations
+    to apply ids and operators. `wake` is set and replaced each time a generation is adopted.
     """
 
     generation: int = 0
     digest: str = ""
     applies: dict[str, int] = field(default_factory=dict)
-    winners: dict[int, tuple[str, str]] = field(default_factory=dict)
+    applies_by_generation: dict[int, tuple[str, str]] = field(default_factory=dict)
     wake: trio.Event = field(default_factory=trio.Event)
     _sections: dict[str, _SectionState] = field(default_factory=dict)
     _removed: dict[str, int] = field(default_factory=dict)
@@ -150,7 +150,7 @@
         self.wake = trio.Event()
         return True
 
-    def changes_since(self, generation: int) -> Delta | None:
+    def delta_since(self, generation: int) -> Delta | None:
         """Return the delta from `generation` to this one, or None if there is none."""
         if generation >= self.generation:
             return None
@@ -158,7 +158,7 @@
         removed = tuple(sorted(n for n, g in self._removed.items() if g > generation))
         applies = tuple(
             (number, *winner)
-            for number, winner in sorted(self.winners.items())
+            for number, winner in sorted(self.applies_by_generation.items())
             if number > generation
         )
         return Delta(generation, self.generation, self.digest, changed, removed, applies)
@@ -166,9 +166,9 @@
     def _record_applies(self, applies: tuple[tuple[int, str, str], ...]) -> None:
         for number, apply_id, operator in applies:
             self.applies[apply_id] = number
-            self.winners[number] = (apply_id, operator)
-        for number in sorted(self.winners)[:-MAX_KEPT_APPLIES]:
-            self.applies.pop(self.winners.pop(number)[0], None)
+            self.applies_by_generation[number] = (apply_id, operator)
+        for number in sorted(self.applies_by_generation)[:-MAX_KEPT_APPLIES]:
+            self.applies.pop(self.applies_by_generation.pop(number)[0], None)
 
 
 @dataclass(frozen=True, slots=True)
@@ -258,7 +258,10 @@
                 configuration.digest,
                 configuration.sections,
                 (),
-                tuple((n, *winner) for n, winner in sorted(configuration.winners.items())),
+                tuple(
+                    (n, *winner)
+                    for n, winner in sorted(configuration.applies_by_generation.items())
+                ),
             )
             await self._log.write_snapshot(configuration.generation, whole.encode())
 
--- a/packages/heronthread-coordination/src/heronthread_coordination/lease.py
+++ b/packages/heronthread-coordination/src/heronthread_coordination/lease.py
@@ -42,7 +42,7 @@
         return cls(**json.loads(value))
 
 
-class Standing(Enum):
+class LeaseState(Enum):
     """Ownership state of a host for a cell.
 
     A `DEGRADED` owner's lease has expired while no host can reach the store. It keeps running
@@ -104,16 +104,16 @@
         trace: TracebackType | None,
     ) -> None:
         if kind is None:
-            await self.hand_over()
+            await self.release_lease()
 
     @property
-    def standing(self) -> Standing:
+    def state(self) -> LeaseState:
         """The current ownership state of this host."""
         if not self._is_owner:
-            return Standing.NOT_OWNER
+            return LeaseState.NOT_OWNER
         if trio.current_time() < self._expires_at:
-            return Standing.OWNER
-        return Standing.DEGRADED if self.is_store_down_for_all else Standing.NOT_OWNER
+            return LeaseState.OWNER
+        return LeaseState.DEGRADED if self.is_store_down_for_all else LeaseState.NOT_OWNER
 
     @property
     def is_held(self) -> bool:
@@ -138,7 +138,7 @@
             self._observed = None
             self._notify()
 
-    async def hand_over(self) -> None:
+    async def release_lease(self) -> None:
         """Release the lease, so that another host can acquire it at once, and stop contending."""
         self.is_contender = False
         if not self._is_owner or self.record is None:
@@ -247,7 +247,7 @@
         self._store_failed = isinstance(outcome, Unavailable | Unknown)
 
     @property
-    def store_failed(self) -> bool:
+    def has_store_failed(self) -> bool:
         """Whether the last store call for the lease failed."""
         return self._store_failed
 
--- a/packages/heronthread-coordination/src/heronthread_coordination/membership.py
+++ b/packages/heronthread-coordination/src/heronthread_coordination/membership.py
@@ -63,7 +63,7 @@
         """Record a refused connection: the member is suspect for `suspect_duration_s`."""
         self._suspect_until[name] = trio.current_time() + self.suspect_duration_s
 
-    def note_alive(self, name: str) -> None:
+    def mark_alive(self, name: str) -> None:
         """Record that a member responded; it is no longer suspect."""
         self._suspect_until.pop(name, None)
 
--- a/packages/heronthread-coordination/tests/test_configuration.py
+++ b/packages/heronthread-coordination/tests/test_configuration.py
@@ -79,7 +79,7 @@
         assert ahead.adopt(change)
         if number < behind:
             late.adopt(change)
-    delta = ahead.changes_since(late.generation)
+    delta = ahead.delta_since(late.generation)
     if delta is not None:
         assert late.adopt_delta(Delta.decode(delta.encode()))
     assert late.sections == ahead.sections == versions[-1]
--- a/packages/heronthread-coordination/tests/test_lease.py
+++ b/packages/heronthread-coordination/tests/test_lease.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import trio
-from heronthread_coordination import CellLease, MemoryStore, OwnerRecord, Standing
+from heronthread_coordination import CellLease, LeaseState, MemoryStore, OwnerRecord
 
 
 def make_lease(store, host: str, **more) -> CellLease:
@@ -22,12 +22,12 @@
 
         nursery.start_soon(run_first)
         await trio.sleep(3)
-        assert first.standing is Standing.OWNER
+        assert first.state is LeaseState.OWNER
         nursery.start_soon(second.run)
         await trio.sleep(5)
         killed.cancel()
         at = trio.current_time()
-        while second.standing is not Standing.OWNER:
+        while second.state is not LeaseState.OWNER:
             await trio.sleep(0.1)
         assert trio.current_time() - at < 7
         assert second.epoch == first.epoch + 1
@@ -44,7 +44,7 @@
             await trio.sleep(0.25)
             store.faults.lose_answers += step % 7 == 0
             store.faults.down = 60 <= step < 110
-            owners = [lease for lease in leases if lease.standing is Standing.OWNER]
+            owners = [lease for lease in leases if lease.state is LeaseState.OWNER]
             assert len(owners) <= 1
         nursery.cancel_scope.cancel()
 
@@ -59,10 +59,10 @@
         nursery.start_soon(second.run)
         store.set_down(True)
         await trio.sleep(600)
-        assert first.standing is Standing.DEGRADED
+        assert first.state is LeaseState.DEGRADED
         store.set_down(False)
         await trio.sleep(10)
-        assert first.standing is Standing.OWNER
+        assert first.state is LeaseState.OWNER
         assert first.epoch == 1
         nursery.cancel_scope.cancel()
 
@@ -77,7 +77,7 @@
             nursery.start_soon(second.run)
             await trio.sleep(2)
         at = trio.current_time()
-        while second.standing is not Standing.OWNER:
+        while second.state is not LeaseState.OWNER:
             await trio.sleep(0.05)
         assert trio.current_time() - at < 1.5
         nursery.cancel_scope.cancel()
@@ -93,7 +93,7 @@
         stolen = OwnerRecord("c", "b", "b:1", 9, 0, 5.0, "x")
         await store.write("owner/c", stolen.encode(), expect=entry.revision)
         await trio.sleep(4)
-        assert lease.standing is Standing.NOT_OWNER
+        assert lease.state is LeaseState.NOT_OWNER
         assert lease.record.epoch == 9
         nursery.cancel_scope.cancel()
 
@@ -104,20 +104,20 @@
     first, second = make_lease(store, "a", duration_s=1.0), make_lease(store, "b", duration_s=1.0)
     async with trio.open_nursery() as nursery:
         nursery.start_soon(first.run)
-        while first.standing is not Standing.OWNER:
+        while first.state is not LeaseState.OWNER:
             await trio.sleep(0.01)
         store.faults.delay_s = 0.1
         writes = store.writes
         while store.writes == writes:
             await trio.sleep(0.01)
-        await first.hand_over()
+        await first.release_lease()
         store.faults.delay_s = 0.0
-        assert first.standing is Standing.NOT_OWNER
+        assert first.state is LeaseState.NOT_OWNER
         nursery.start_soon(second.run)
         with trio.fail_after(5.0):
-            while second.standing is not Standing.OWNER:
+            while second.state is not LeaseState.OWNER:
                 await trio.sleep(0.05)
         await trio.sleep(3.0)
-        assert first.standing is Standing.NOT_OWNER
-        assert second.standing is Standing.OWNER
+        assert first.state is LeaseState.NOT_OWNER
+        assert second.state is LeaseState.OWNER
         nursery.cancel_scope.cancel()
--- a/packages/heronthread-coordination/tests/test_parts.py
+++ b/packages/heronthread-coordination/tests/test_parts.py
@@ -12,7 +12,7 @@
     CustomerLimits,
     Drain,
     Draining,
-    Drop,
+    DropReason,
     Histograms,
     Key,
     Measure,
@@ -49,7 +49,7 @@
 def test_retries_stay_within_the_budget():
     budget = RetryBudget()
     for _ in range(1000):
-        budget.note_call()
+        budget.record_call()
         budget.try_retry()
     assert budget.retries <= 0.1 * budget.calls + budget.reserve
 
@@ -58,12 +58,12 @@
     breaker = CircuitBreaker(failures=2, open_s=5)
     breaker.note(False)
     breaker.note(True, elapsed_s=10)
-    assert not breaker.try_enter()
+    assert not breaker.allow_call()
     await trio.sleep(6)
-    assert breaker.try_enter()
-    assert not breaker.try_enter()
+    assert breaker.allow_call()
+    assert not breaker.allow_call()
     breaker.note(True)
-    assert breaker.try_enter()
+    assert breaker.allow_call()
 
 
 def test_one_customer_can_not_crowd_out_another():
@@ -126,13 +126,13 @@
 def test_answers_are_joined_in_order_and_invalid_ones_dropped():
     collector = AnswerCollector()
     collector.open("x", 2)
-    assert collector.add(make_answer("y", 0, "other")) is Drop.FOREIGN
+    assert collector.add(make_answer("y", 0, "other")) is DropReason.FOREIGN
     assert collector.add(make_answer("x", 1, "b")) is None
-    assert collector.add(make_answer("x", 1, "b")) is Drop.DUPLICATE
-    assert collector.add(MemberAnswer("x", 0, "a", 5, "bad")) is Drop.PARTIAL
+    assert collector.add(make_answer("x", 1, "b")) is DropReason.DUPLICATE
+    assert collector.add(MemberAnswer("x", 0, "a", 5, "bad")) is DropReason.PARTIAL
     assert collector.add(make_answer("x", 0, "a")) == "ab"
     collector.close("x")
-    assert collector.add(make_answer("x", 0, "a")) is Drop.LATE
+    assert collector.add(make_answer("x", 0, "a")) is DropReason.LATE
 
 
 def test_histograms_merge():
--- a/packages/heronthread-daemon/src/heronthread_daemon/api.py
+++ b/packages/heronthread-daemon/src/heronthread_daemon/api.py
@@ -191,7 +191,9 @@
     @app.get("/v1/configuration")
     async def generation() -> Response:
         configuration = host.configuration
-        apply_id, operator = configuration.winners.get(configuration.generation, ("", ""))
+        apply_id, operator = configuration.applies_by_generation.get(
+            configuration.generation, ("", "")
+        )
         body = {
             "generation": configuration.generation,
             "digest": configuration.digest,
@@ -286,7 +288,7 @@
         "cell": cell,
         "owner": view.host if view else "",
         "epoch": view.epoch if view else 0,
-        "standing": host.leases[cell].standing.value,
+        "standing": host.leases[cell].state.value,
     }
     owner = host.owners.get(cell)
     if owner is not None:
--- a/packages/heronthread-daemon/src/heronthread_daemon/host.py
+++ b/packages/heronthread-daemon/src/heronthread_daemon/host.py
@@ -12,9 +12,9 @@
     ConfigurationLog,
     CustomerLimits,
     Delta,
+    LeaseState,
     Member,
     RetryBudget,
-    Standing,
     Superseded,
     Unavailable,
     rank,
@@ -88,7 +88,7 @@
             self.log("host.stopping")
             nursery.cancel_scope.cancel()
         for lease in self.leases.values():
-            await lease.hand_over()
+            await lease.release_lease()
 
     # Configuration
 
@@ -103,7 +103,7 @@
             return state
         current = self.configuration.generation
         if expect is not None and expect != current and apply_id not in self.configuration.applies:
-            apply, by = self.configuration.winners.get(current, ("", ""))
+            apply, by = self.configuration.applies_by_generation.get(current, ("", ""))
             return Superseded(current, apply, by)
         outcome = await self.configuration_log.apply(
             self.configuration, split_state(state), apply_id, operator
@@ -203,7 +203,7 @@
             if reply.refused:
                 self.membership.note_refused(member.name)
             return
-        self.membership.note_alive(member.name)
+        self.membership.mark_alive(member.name)
         self._take_heartbeat(reply.heartbeat)
         if reply.heartbeat.generation > self.configuration.generation > 0:
             await self._fetch_changes(member)
@@ -253,7 +253,7 @@
                 self._nursery.start_soon(self._fetch_changes, sender)
             return Frame(heartbeat=self._make_heartbeat())
         if frame.changes_request is not None:
-            delta = self.configuration.changes_since(frame.changes_request.since)
+            delta = self.configuration.delta_since(frame.changes_request.since)
             encoded = delta.encode() if delta else b""
             return Frame(changes=Changes(encoded))
         forward = frame.forward
@@ -287,7 +287,7 @@
         as the retry budget and `wait_s` allow. After that the caller is told at once to
         come back later.
         """
-        self.retries.note_call()
+        self.retries.record_call()
         deadline = trio.current_time() + wait_s + CALL_TIMEOUT_S
         attempt = 0
         while True:
@@ -295,7 +295,7 @@
             routed = await self._try_route(cell, operation, body, min(wait_s, left))
             if routed.status not in (NOT_OWNER, UNAVAILABLE):
                 return routed
-            pause = self.backoff.choose_wait(attempt, self.parts.random)
+            pause = self.backoff.choose_delay_s(attempt, self.parts.random)
             attempt += 1
             if trio.current_time() + pause > deadline or not self.retries.try_retry():
                 return Routed(UNAVAILABLE, routed.body)
@@ -329,7 +329,7 @@
         owner = self.owners.get(cell)
         if owner is None:
             return Routed(NOT_OWNER, b"this host does not own the cell")
-        if owner.parts.lease.standing is Standing.NOT_OWNER:
+        if owner.parts.lease.state is LeaseState.NOT_OWNER:
             return Routed(UNAVAILABLE, b"the owner's lease has run out and can't be renewed")
         with trio.move_on_after(CALL_TIMEOUT_S / 2):
             await owner.ready.wait()
--- a/packages/heronthread-daemon/src/heronthread_daemon/launch.py
+++ b/packages/heronthread-daemon/src/heronthread_daemon/launch.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import trio
-from heronthread_coordination import Deposed, Measure, Standing
+from heronthread_coordination import Deposed, LeaseState, Measure
 from heronthread_scheduling import Gang
 
 from . import outcome
@@ -20,7 +20,7 @@
         owner.scheduler.finish(gang.job.id)
         return None
     owned.attempts += 1
-    names = owner.scheduler.place_names(gang)
+    names = owner.scheduler.units_by_worker(gang)
     attempt_id = f"{gang.job.id}#{owner.epoch}.{owned.attempts}"
     attempt = Attempt(attempt_id, gang, place_members(gang, names))
     owner.attempts[attempt.id] = attempt
@@ -65,11 +65,11 @@
     """Ask the clock and the lease just before the first command that runs anything."""
     if not owner.leaving.isdisjoint(attempt.members_on):
         return False
-    standing = owner.parts.lease.standing
+    lease_state = owner.parts.lease.state
     if owned.job.repeatable:
-        return standing is not Standing.NOT_OWNER
+        return lease_state is not LeaseState.NOT_OWNER
     assert owned.claim is not None
-    return standing is not Standing.NOT_OWNER and owner.parts.clock() < owned.claim.start_by
+    return lease_state is not LeaseState.NOT_OWNER and owner.parts.clock() < owned.claim.start_by
 
 
 def _give_up(owner: OwnedCell, attempt: Attempt, why: str) -> None:
--- a/packages/heronthread-daemon/src/heronthread_daemon/owned_cell.py
+++ b/packages/heronthread-daemon/src/heronthread_daemon/owned_cell.py
@@ -57,7 +57,7 @@
         for name in sorted(workers - self.leaving):
             if name in self.links:
                 self.leaving.add(name)
-                self.scheduler.close_worker(name)
+                self.scheduler.cordon_worker(name)
                 self.log("worker.leaving", worker=name)
         self.wake()
 
--- a/packages/heronthread-daemon/src/heronthread_daemon/owner.py
+++ b/packages/heronthread-daemon/src/heronthread_daemon/owner.py
@@ -6,7 +6,7 @@
 from functools import partial
 
 import trio
-from heronthread_coordination import Standing
+from heronthread_coordination import LeaseState
 from heronthread_scheduling import (
     Cause,
     CellSpec,
@@ -143,7 +143,7 @@
         self.state, self.spec = state, spec
         self.scheduler = spec.make_scheduler()
         gangs = [self._move_gang(old, gang) for gang in old.gangs.values()]
-        self.scheduler.adopt_all(gang for gang in gangs if gang is not None)
+        self.scheduler.adopt_gangs(gang for gang in gangs if gang is not None)
         for entry in old.queue.entries.values():
             self.scheduler.queue.add(entry.job, entry.arrival)
         for name in changed & spec.topology.number.keys():
@@ -151,7 +151,7 @@
         for link in self.links.values():
             closed = link.state is not LinkState.ALIVE or link.name in self.leaving
             if closed and link.name in spec.topology.number:
-                self.scheduler.close_worker(link.name)
+                self.scheduler.cordon_worker(link.name)
         self.wake()
 
     # Queries
@@ -172,7 +172,7 @@
             attempts=owned.attempts,
             cell=self.cell,
             epoch=self.epoch,
-            places=self.scheduler.place_names(gang) if gang else {},
+            places=self.scheduler.units_by_worker(gang) if gang else {},
             durable=owned.durable,
             retry_after_s=0.0 if final else RETRY_AFTER_S,
         )
@@ -192,7 +192,7 @@
             self._wake = trio.Event()
             if self.is_leaving:
                 continue
-            if self.parts.lease.standing is Standing.NOT_OWNER:
+            if self.parts.lease.state is LeaseState.NOT_OWNER:
                 continue
             for decision in self.scheduler.decide(self.parts.clock(), self._startable):
                 self._carry_out(decision)
@@ -201,7 +201,7 @@
         """Without a lease or a ledger that takes claims, only repeatable work starts."""
         if key.repeatable:
             return True
-        return self.parts.lease.standing is Standing.OWNER and not self.parts.ledger.is_stalled
+        return self.parts.lease.state is LeaseState.OWNER and not self.parts.ledger.is_stalled
 
     def _carry_out(self, decision: Decision) -> None:
         assert self._nursery is not None
@@ -243,12 +243,12 @@
             self.epoch,
             self.parts.workers,
             self.parts.times,
-            may_send=lambda: lease.standing is not Standing.NOT_OWNER,
+            may_send=lambda: lease.state is not LeaseState.NOT_OWNER,
             on_reply=partial(reports.take_reply, self),
             on_state=partial(reports.take_state, self),
             on_stale=self._on_stale,
         )
-        self.scheduler.close_worker(name)
+        self.scheduler.cordon_worker(name)
         assert self._nursery is not None
         self._nursery.start_soon(self.links[name].run)
 
@@ -262,7 +262,7 @@
         if any(name not in number for name in names):
             return None
         places = {number[name]: units for name, units in names.items()}
-        return Gang(gang.job, places, gang.start, None, set(gang.waiting_for), gang.leaving)
+        return Gang(gang.job, places, gang.start, None, set(gang.waiting_for), gang.is_stopping)
 
     @staticmethod
     def _old_name(old: object, worker: int) -> str:
--- a/packages/heronthread-daemon/src/heronthread_daemon/ownership.py
+++ b/packages/heronthread-daemon/src/heronthread_daemon/ownership.py
@@ -5,8 +5,8 @@
 import trio
 from heronthread_coordination import (
     CellLease,
+    LeaseState,
     Ledger,
-    Standing,
     Unavailable,
     is_store_down_for_all,
     rank,
@@ -35,9 +35,9 @@
     host.leases[cell] = lease
     async with trio.open_nursery() as nursery:
         nursery.start_soon(lease.run)
-        nursery.start_soon(_watch_standing, host, lease)
+        nursery.start_soon(_watch_lease_state, host, lease)
         while True:
-            while lease.standing is Standing.NOT_OWNER:
+            while lease.state is LeaseState.NOT_OWNER:
                 await _wait_changed(lease)
             host.note_owner(cell, lease.epoch, host.name, host.settings.peer_address)
             await _own(host, cell, lease)
@@ -49,7 +49,7 @@
         await lease.changed.wait()
 
 
-async def _watch_standing(host: HostState, lease: CellLease) -> None:
+async def _watch_lease_state(host: HostState, lease: CellLease) -> None:
     """Tell the lease what the peers know of the store, and its place in the order."""
     while True:
         lease.is_store_down_for_all = _is_store_down_for_all(host, lease)
@@ -61,7 +61,7 @@
 
 
 def _is_store_down_for_all(host: HostState, lease: CellLease) -> bool:
-    if not lease.store_failed:
+    if not lease.has_store_failed:
         return False
     now = trio.current_time()
     others = [m.name for m in host.membership.members.values() if m.name != host.name]
--- a/packages/heronthread-daemon/src/heronthread_daemon/reports.py
+++ b/packages/heronthread-daemon/src/heronthread_daemon/reports.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from heronthread_coordination import Drop, MemberAnswer
+from heronthread_coordination import DropReason, MemberAnswer
 
 from . import outcome
 from .attempt import Attempt, Ending
@@ -27,13 +27,13 @@
         return
     owner.log("worker.state", worker=link.name, state=link.state.value)
     if link.state is LinkState.ALIVE and link.name not in owner.leaving:
-        owner.scheduler.return_worker(link.name)
+        owner.scheduler.restore_worker(link.name)
     elif link.state is LinkState.SILENT:
         _stop_unconfirmed(owner, link.name)
-        owner.scheduler.close_worker(link.name)
+        owner.scheduler.cordon_worker(link.name)
     elif link.state is LinkState.LOST:
         _lose_members(owner, link.name)
-        owner.scheduler.close_worker(link.name)
+        owner.scheduler.cordon_worker(link.name)
     owner.wake()
 
 
@@ -63,7 +63,7 @@
         return
     answer = MemberAnswer(task.attempt, task.member, task.content, task.length, task.digest)
     whole = owner.answers.add(answer)
-    if isinstance(whole, Drop):
+    if isinstance(whole, DropReason):
         owner.log("answer.dropped", attempt=attempt.id, member=task.member, why=whole.value)
         return
     attempt.done.add(task.member)
--- a/packages/heronthread-daemon/src/heronthread_daemon/takeover.py
+++ b/packages/heronthread-daemon/src/heronthread_daemon/takeover.py
@@ -66,7 +66,7 @@
             owner.spawn(_settle_attempt, owner, item, owned)
         else:
             _stop(owner, item)
-    owner.scheduler.adopt_all(gangs)
+    owner.scheduler.adopt_gangs(gangs)
     running = {gang.job.id for gang in gangs}
     _requeue_rest(owner, running | unsettled)
     for item in found.values():
@@ -84,7 +84,7 @@
         await link.settled.wait()
     whole = _collect(owner).get(item.attempt, item)
     if not owned.is_final and _may_adopt(whole, owned):
-        owner.scheduler.adopt_all([_adopt(owner, whole, owned)])
+        owner.scheduler.adopt_gangs([_adopt(owner, whole, owned)])
         _replay(owner, whole)
         return
     _stop(owner, whole)
--- a/packages/heronthread-daemon/src/heronthread_daemon/worker_http.py
+++ b/packages/heronthread-daemon/src/heronthread_daemon/worker_http.py
@@ -33,7 +33,7 @@
     async def exchange(self, worker: str, exchange: Exchange) -> ExchangeOutcome:
         """Make one call; a long wait does not count as slow."""
         breaker = self._limits.breaker(worker)
-        if not breaker.try_enter():
+        if not breaker.allow_call():
             return Unreachable(f"{worker} failed several times; its rest is not over", refused=True)
         body = EXCHANGE.dump_json(exchange)
         started = trio.current_time()
--- a/packages/heronthread-scheduling/src/heronthread_scheduling/__init__.py
+++ b/packages/heronthread-scheduling/src/heronthread_scheduling/__init__.py
@@ -11,14 +11,14 @@
 from .guarantee import Block, Guarantee
 from .job import Gang, Job, JobClass, Shape
 from .plan import Plan, PlannedJob, Snapshot, plan_event
-from .policy import DEFAULT_POLICY, NAMED, Policy
+from .policy import DEFAULT_POLICY, NAMED_POLICIES, Policy
 from .problem import Problem, Refused, json_path, problems_of
 from .scheduler import CellScheduler
 from .topology import Level, Pool, Topology, Worker
 
 __all__ = [
     "DEFAULT_POLICY",
-    "NAMED",
+    "NAMED_POLICIES",
     "Accepted",
     "Block",
     "Cause",
--- a/packages/heronthread-scheduling/src/heronthread_scheduling/capacity.py
+++ b/packages/heronthread-scheduling/src/heronthread_scheduling/capacity.py
@@ -57,7 +57,7 @@
         return self.members(level, unit, shape.units) >= shape.members
 
 
-def count_usable(topology: Topology, free: Sequence[int], shape: Shape) -> int:
+def count_usable_units(topology: Topology, free: Sequence[int], shape: Shape) -> int:
     """Return how many units gangs of `shape` could occupy, given the free units per worker."""
     usable = 0
     for workers in topology.workers_in[shape.adjacency]:
--- a/packages/heronthread-scheduling/src/heronthread_scheduling/job.py
+++ b/packages/heronthread-scheduling/src/heronthread_scheduling/job.py
@@ -84,7 +84,7 @@
     """A job that holds capacity.
 
     `block` is the id of the guarantee block that it runs in, or None. `waiting_for` holds
-    the ids of the gangs that must stop before it can start. `leaving` is set once the gang
+    the ids of the gangs that must stop before it can start. `is_stopping` is set once the gang
     is being stopped.
     """
 
@@ -93,7 +93,7 @@
     start: float
     block: str | None = None
     waiting_for: set[str] = field(default_factory=set)
-    leaving: bool = False
+    is_stopping: bool = False
 
     @property
     def pinned(self) -> bool:
--- a/packages/heronthread-scheduling/src/heronthread_scheduling/job_start.py
+++ b/packages/heronthread-scheduling/src/heronthread_scheduling/job_start.py
@@ -290,14 +290,14 @@
 ) -> list[Decision]:
     """Assign the places now; the gang starts when the victims have stopped."""
     pending = {victim.job.id for victim in victims}
-    pending |= {g.job.id for g in _gangs_at(cell, state, places) if g.leaving}
+    pending |= {g.job.id for g in _gangs_at(cell, state, places) if g.is_stopping}
     started = _start(cell, job, places, now, block, reason)
     if not pending:
         return started
     gang = cell.gangs[job.id]
     gang.waiting_for = pending
     for victim in victims:
-        victim.leaving = True
+        victim.is_stopping = True
     urgent = job.job_class.urgent
     stop_within_s = cell.policy.urgent_stop_s if urgent else cell.policy.reclaim_stop_s
     return [Reclaim(tuple(victims), job, reason, stop_within_s)]
@@ -330,7 +330,7 @@
 
 def _stopping_units(cell: CellState, state: PoolState, worker: int) -> int:
     gangs = cell.gangs_on(worker, state.capacity.pool)
-    return sum(gang.places[worker] for gang in gangs if gang.leaving)
+    return sum(gang.places[worker] for gang in gangs if gang.is_stopping)
 
 
 def _gangs_at(cell: CellState, state: PoolState, places: Places) -> list[Gang]:
@@ -343,7 +343,7 @@
 
 def _can_reclaim(gang: Gang, now: float, *, spare_urgent: bool) -> bool:
     """Return whether a gang may be reclaimed; one that started at `now` may not."""
-    if gang.pinned or gang.leaving or gang.waiting_for or gang.start >= now:
+    if gang.pinned or gang.is_stopping or gang.waiting_for or gang.start >= now:
         return False
     return not (spare_urgent and gang.job.job_class.urgent)
 
--- a/packages/heronthread-scheduling/src/heronthread_scheduling/plan.py
+++ b/packages/heronthread-scheduling/src/heronthread_scheduling/plan.py
@@ -86,7 +86,7 @@
 ) -> Refused | None:
     for name in snapshot.lost:
         if name in scheduler.topology.number:
-            scheduler.lose_worker(name)
+            scheduler.mark_worker_lost(name)
     gangs = []
     for number, item in enumerate(snapshot.gangs):
         unknown = [name for name in item.places if name not in scheduler.topology.number]
@@ -99,7 +99,7 @@
         job = make_job(state, item.job, item.id, now).job
         places = {scheduler.topology.number[n]: units for n, units in item.places.items()}
         gangs.append(Gang(job, places, now - item.running_s))
-    scheduler.adopt_all(gangs)
+    scheduler.adopt_gangs(gangs)
     return None
 
 
@@ -117,11 +117,11 @@
         order += not isinstance(decision, NotRun)
         if isinstance(decision, Start):
             item = by_id[decision.gang.job.id]
-            places = scheduler.place_names(decision.gang)
+            places = scheduler.units_by_worker(decision.gang)
             planned[item.job.id] = _entry(item, "start", order, places, decision.reason)
         elif isinstance(decision, Reclaim):
             item = by_id[decision.claimant.id]
-            places = scheduler.place_names(scheduler.gangs[item.job.id])
+            places = scheduler.units_by_worker(scheduler.gangs[item.job.id])
             victims = tuple(_describe(victim, now) for victim in decision.victims)
             planned[item.job.id] = _entry(item, "reclaim", order, places, decision.reason, victims)
         else:
--- a/packages/heronthread-scheduling/src/heronthread_scheduling/policy.py
+++ b/packages/heronthread-scheduling/src/heronthread_scheduling/policy.py
@@ -86,7 +86,7 @@
 BEST_FIT = replace(FIRST_FIT_SKIPPING, name="best-fit", placement=PlacementName.BEST_FIT)
 MEAN_ESTIMATE = replace(DEFAULT_POLICY, name="mean-only", estimate=EstimateName.MEAN)
 
-NAMED = {
+NAMED_POLICIES = {
     policy.name: policy
     for policy in (DEFAULT_POLICY, FIRST_FIT, FIRST_FIT_SKIPPING, BEST_FIT, MEAN_ESTIMATE)
 }
--- a/packages/heronthread-scheduling/src/heronthread_scheduling/scheduler.py
+++ b/packages/heronthread-scheduling/src/heronthread_scheduling/scheduler.py
@@ -31,7 +31,7 @@
 class CellScheduler(CellState):
     """Schedules the jobs of one cell.
 
-    Commands (`submit`, `finish`, `lose_worker`, ...) change the state. `decide` returns
+    Commands (`submit`, `finish`, `mark_worker_lost`, ...) change the state. `decide` returns
     decisions and assumes that the caller carries them out. Queries change nothing. Times are
     in seconds on the caller's clock.
     """
@@ -70,7 +70,7 @@
         self.reasons.pop(job_id, None)
         return entry.job if entry else None
 
-    def adopt_all(self, gangs: Iterable[Gang]) -> None:
+    def adopt_gangs(self, gangs: Iterable[Gang]) -> None:
         """Register gangs that already run, then place the guarantee blocks around them.
 
         A gang that is not reclaimable is bound to a block of its customer if it fits one,
@@ -108,26 +108,26 @@
         self._arrivals.pop(job_id, None)
         self.reasons.pop(job_id, None)
 
-    def lose_worker(self, name: str) -> list[Gang]:
+    def mark_worker_lost(self, name: str) -> list[Gang]:
         """Mark a worker as lost; return the gangs that had members on it.
 
         The caller stops their other members, then calls `finish` for each.
         """
-        self.close_worker(name)
+        self.cordon_worker(name)
         worker = self.topology.number[name]
         broken = [self.gangs[gang_id] for gang_id in sorted(self.gangs_by_worker[worker])]
         for gang in broken:
-            gang.leaving = True
+            gang.is_stopping = True
         return broken
 
-    def close_worker(self, name: str) -> None:
+    def cordon_worker(self, name: str) -> None:
         """Stop placing gangs on a worker; running ones continue, guarantee blocks move away."""
         worker = self.topology.number[name]
         for state in self.pools.values():
             state.capacity.set_lost(worker, True)
             state.blocks.unplace_blocks_on(worker, self.gangs)
 
-    def return_worker(self, name: str) -> None:
+    def restore_worker(self, name: str) -> None:
         """Make a lost or closed worker available again, first to unbacked guarantees."""
         worker = self.topology.number[name]
         for state in self.pools.values():
@@ -173,7 +173,7 @@
         """Return the reason why a job waits or runs where it does; None if it is unknown."""
         return self.reasons.get(job_id)
 
-    def place_names(self, gang: Gang) -> dict[str, int]:
+    def units_by_worker(self, gang: Gang) -> dict[str, int]:
         """Return the units a gang holds on each worker, by worker name."""
         return {self.topology.workers[w].name: units for w, units in sorted(gang.places.items())}
 
--- a/packages/heronthread-scheduling/tests/test_guarantee.py
+++ b/packages/heronthread-scheduling/tests/test_guarantee.py
@@ -89,17 +89,17 @@
         elif step[0] == "finish" and cell.gangs:
             cell.finish(sorted(cell.gangs)[step[1] % len(cell.gangs)])
         elif step[0] == "lose":
-            lose_worker(cell, step[1] % len(topology), now)
+            mark_worker_lost(cell, step[1] % len(topology), now)
         elif step[0] == "return":
-            cell.return_worker(topology.workers[step[1] % len(topology)].name)
+            cell.restore_worker(topology.workers[step[1] % len(topology)].name)
         run_passes(cell, now)
         if not cell.unbacked():
             found += audit(cell, guarantees)
     return found
 
 
-def lose_worker(cell: CellScheduler, worker: int, now: float) -> None:
-    for gang in cell.lose_worker(cell.topology.workers[worker].name):
+def mark_worker_lost(cell: CellScheduler, worker: int, now: float) -> None:
+    for gang in cell.mark_worker_lost(cell.topology.workers[worker].name):
         cell.finish(gang.job.id)
 
 
@@ -196,13 +196,13 @@
 def test_lost_worker_makes_guarantee_unbacked_until_it_returns():
     topology = Topology([Worker("w1", "r", "d", 4, 0), Worker("w2", "r", "d", 4, 0)])
     cell = CellScheduler(topology, [Guarantee("a", Shape(2, 4, Level.RACK))])
-    cell.lose_worker("w1")
+    cell.mark_worker_lost("w1")
     cell.decide(0.0)
     assert [block.customer for block in cell.unbacked()] == ["a"]
     cell.submit(Job("pin", "b", CLASS, Shape(1, 1), 10, 15, repeatable=False), 1.0)
     assert cell.decide(1.0) == []
     assert job_start.failure_key(cell, cell.queue.entries["pin"].job)
-    cell.return_worker("w1")
+    cell.restore_worker("w1")
     cell.decide(2.0)
     assert cell.unbacked() == []
 
