--- a/benchmarks/planning.py
+++ b/benchmarks/planning.py
@@ -51,7 +51,7 @@
         rack = f"r{number // RACK}"
         executor = Executor(f"e{number}", f"e{number}", "pool", "z", rack, ("k", rack), CAPACITY)
         state = ExecutorState(executor, free=CAPACITY)
-        state.heard = state.recorded = True
+        state.has_reported = state.recorded = True
         states.append(state)
     return states
 
@@ -88,7 +88,7 @@
         for task in job.steps[0].tasks:
             key = TaskKey(spec.id, 0, task.index)
             attempt = Attempt(key, 1, state.life, step.need, NOW - 5, Phase.RUNNING)
-            attempt.began_at, attempt.moved_at = NOW - 5, NOW
+            attempt.began_at, attempt.progressed_at = NOW - 5, NOW
             attempt.percent = source.uniform(10, 60)
             task.attempt = attempt
             state.occupy(attempt)
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/contact.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/contact.py
@@ -21,10 +21,10 @@
 
 def needs_look(state: ExecutorState) -> bool:
     """Whether to probe an executor: a start waits for it, or another one of its rack is silent."""
-    if state.silent_since is not None:
+    if state.unresponsive_since is not None:
         return False
     waits = any(a.phase is Phase.STARTING and not a.sends for a in state.attempts.values())
-    return state.is_doubted or (waits and not _has_recent_report(state))
+    return state.needs_report or (waits and not _has_recent_report(state))
 
 
 async def wait_answered(asked: Iterable[ExecutorState], known: Iterable[ExecutorState]) -> bool:
@@ -41,14 +41,14 @@
     racks = {_get_rack(state) for state in unanswered if not state.dead}
     for state in known if racks else ():
         if _get_rack(state) in racks and not _has_recent_report(state):
-            state.is_doubted = True
+            state.needs_report = True
             state.wake.set()
     return not unanswered
 
 
 async def _wait_for_report(state: ExecutorState) -> None:
     """Wait until an executor has a recent report, or is known to be silent or dead."""
-    if _has_recent_report(state) or state.dead or state.silent_since is not None:
+    if _has_recent_report(state) or state.dead or state.unresponsive_since is not None:
         return
     state.wake.set()
     await state.news.wait()
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/crashes.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/crashes.py
@@ -141,9 +141,9 @@
 
     def note_silence(self, state: ExecutorState, now: float) -> None:
         """Note that an executor no longer answers, with the attempts there."""
-        state.silent_since = now
-        state.listed_at_silence = state.listed
-        state.at_silence = tuple(
+        state.unresponsive_since = now
+        state.was_listed_when_unresponsive = state.listed
+        state.held_when_unresponsive = tuple(
             (attempt, _find_age_s(attempt, now, self._has_outlived_start(attempt)))
             for attempt in state.attempts.values()
         )
@@ -159,18 +159,18 @@
         as it may be partitioned. Without attempts of this owner there, notes of earlier owners are
         kept.
         """
-        if not state.at_silence:
+        if not state.held_when_unresponsive:
             return
         blame_by_task = self._attribute(state)
-        if not state.has_refused:
+        if not state.refuses_connections:
             blame_by_task = dict.fromkeys(blame_by_task, Blame.SUSPECTED)
         self._note(state, blame_by_task)
 
     def withdraw(self, state: ExecutorState) -> None:
         """Withdraw what was noted of an executor, as the same instance has reported again."""
-        state.silent_since = None
-        state.has_refused = False
-        state.at_silence = ()
+        state.unresponsive_since = None
+        state.refuses_connections = False
+        state.held_when_unresponsive = ()
         self._failures = deque(
             (s for s in self._failures if s.life != state.life), maxlen=MAX_FAILURES
         )
@@ -181,14 +181,16 @@
 
         Without attempts of this owner there, notes of earlier owners are kept.
         """
-        if state.silent_since is None:
+        if state.unresponsive_since is None:
             # Another instance was found before this one was missed, so starts in flight never
             # began.
             self.note_silence(state, now)
-            state.at_silence = tuple(
-                (attempt, age_s) for attempt, age_s in state.at_silence if not attempt.is_on_its_way
+            state.held_when_unresponsive = tuple(
+                (attempt, age_s)
+                for attempt, age_s in state.held_when_unresponsive
+                if not attempt.is_in_flight
             )
-        if not state.at_silence:
+        if not state.held_when_unresponsive:
             return
         blame_by_task = self._attribute(state)
         self._note(state, blame_by_task)
@@ -196,7 +198,7 @@
 
     def _attribute(self, state: ExecutorState) -> dict[TaskKey, Blame]:
         """Return the blame for an unresponsive executor; none if it was expected to leave."""
-        if state.leaves_at is not None or not state.listed_at_silence:
+        if state.leaves_at is not None or not state.was_listed_when_unresponsive:
             return {}
         runs = self._list_active_runs(state)
         concurrent = self._list_concurrent_failures(state)
@@ -208,9 +210,9 @@
 
     def _list_concurrent_failures(self, state: ExecutorState) -> list[ExecutorFailure]:
         """Return concurrent failures without recent starts of the jobs on this executor."""
-        at = state.silent_since
+        at = state.unresponsive_since
         assert at is not None
-        jobs = {attempt.task.job for attempt, _ in state.at_silence}
+        jobs = {attempt.task.job for attempt, _ in state.held_when_unresponsive}
         return [
             failure
             for failure in self._failures
@@ -230,7 +232,7 @@
     def _set_blame(self, key: TaskKey, life: Life, blame: Blame | None) -> None:
         task = self._find_task(key)
         if task is not None and task.crashes.get(life) != blame:
-            task.note_crash(life, blame)
+            task.set_blame(life, blame)
             self._on_change(key)
 
     def _list_active_runs(self, state: ExecutorState) -> list[ActiveRun]:
@@ -244,7 +246,7 @@
                 self._has_outlived_start(attempt),
                 attempt.has_begun,
             )
-            for attempt, age_s in state.at_silence
+            for attempt, age_s in state.held_when_unresponsive
             if attempt.life == state.life and _may_have_begun(attempt)
         ]
 
@@ -259,10 +261,10 @@
             "executor.crashed",
             **describe_life(state.life),
             runs=len(runs),
-            silent_s=round(now - (state.silent_since or now), 3),
+            silent_s=round(now - (state.unresponsive_since or now), 3),
             beside=len(self._list_concurrent_failures(state)),
             leaves=state.leaves_at is not None,
-            listed=state.listed_at_silence,
+            listed=state.was_listed_when_unresponsive,
             blamed=[
                 describe_run(task, runs[task].run, state.life)
                 | {"age_s": round(runs[task].age_s, 3), "blame": blame.value}
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/directory.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/directory.py
@@ -13,11 +13,11 @@
 
 from .entries import BadEntry, DirectoryFormat, EntryFault
 from .events import RepeatedEvents, describe_life, log_event
-from .fleet import ExecutorState, make_executor
+from .fleet import ExecutorState, make_executor_state
 from .keystore import Gone, Item, Listing
 from .listings import Listings
 from .model import DesiredState, Executor
-from .owned import OwnedCell
+from .owned_cell import OwnedCell
 from .sizes import PoolSizes
 
 MAX_UNKNOWN_POOL_ITEMS = 2_000
@@ -115,8 +115,8 @@
 
         The known address may come from an earlier owner, whose host had another route to it.
         """
-        state.elsewhere = executor if _differs_only_in_address(state, executor) else None
-        if state.elsewhere is not None:
+        state.moved_entry = executor if _differs_only_in_address(state, executor) else None
+        if state.moved_entry is not None:
             state.wake.set()
 
     def _is_known_pool(self, pool: str) -> bool:
@@ -140,15 +140,15 @@
             self._await_later_life(state, executor)
         else:
             self._renew(state, executor, now)
-        self._cell.note_use()
+        self._cell.notify_use_changed()
         self._cell.wake_planner()
 
     def _add(self, executor: Executor, now: float) -> None:
-        state = make_executor(executor, now)
+        state = make_executor_state(executor, now)
         # No owner has used it yet, or it would be recorded as in use.
-        state.is_named = True
+        state.is_listed_by_jobs = True
         # The store may still say how soon it lapses, of one that was given up before.
-        state.is_lapsing = True
+        state.is_renewal_suspended = True
         self._cell.executors[executor.id] = state
         state.evacuated = self._cell.is_evacuated(state)
         self._cell.stop_late_starts(state)
@@ -167,9 +167,9 @@
         Runs end only once the later life answers, as anybody may have written the entry.
         """
         state.listed = state.was_listed = True
-        state.is_set_aside = False
+        state.has_unusable_entry = False
         # Each entry triggers one probe: the later life may not answer the first one yet.
-        state.announced = executor
+        state.announced_instance = executor
         state.wake.set()
 
     def _renew(self, state: ExecutorState, executor: Executor, now: float) -> None:
@@ -182,8 +182,10 @@
                 used=list(state.executor.capacity.minus(state.free)),
             )
         is_other = state.life.born not in (0, executor.born)
-        state.is_said_anew |= is_other and state.is_inherited and not state.heard
-        state.describe(executor)
+        state.is_entry_of_other_instance |= (
+            is_other and state.is_inherited and not state.has_reported
+        )
+        state.apply_entry(executor)
         state.evacuated = self._cell.is_evacuated(state)
         if executor.leaves_in_s is None and state.leaves_at is not None:
             state.leaves_at = None
@@ -200,7 +202,7 @@
         state = self._cell.executors.get(executor_id)
         if state is not None:
             state.listed = state.was_listed = True
-            state.is_set_aside = True
+            state.has_unusable_entry = True
         if self._invalid.get(executor_id) != bad:
             self._invalid[executor_id] = bad
             self._log_refusal(executor_id, bad, state)
@@ -232,7 +234,7 @@
 
 def _may_run_tasks(state: ExecutorState) -> bool:
     """Whether an executor may run tasks: it has reported, or an owner has used it."""
-    return state.heard or state.is_inherited or bool(state.list_held())
+    return state.has_reported or state.is_inherited or bool(state.list_held())
 
 
 def _names_another_life(state: ExecutorState, executor: Executor) -> bool:
@@ -240,7 +242,7 @@
 
     False if no life has reported yet, or if its reports lack a start time to compare.
     """
-    return state.heard and state.life.born != 0 and executor.born != state.life.born
+    return state.has_reported and state.life.born != 0 and executor.born != state.life.born
 
 
 def _check_life(state: ExecutorState, executor: Executor) -> Executor | BadEntry:
@@ -258,7 +260,7 @@
     False without a start time, as another executor could answer at that address.
     """
     address = state.executor.address
-    if not (state.heard and executor.born) or executor.address == address:
+    if not (state.has_reported and executor.born) or executor.address == address:
         return False
     return not isinstance(_check_location(state, replace(executor, address=address)), BadEntry)
 
@@ -270,7 +272,7 @@
     that still go on would count as ended. An address inherited from an earlier owner may differ.
     """
     known = state.executor
-    if state.heard and executor.address != known.address:
+    if state.has_reported and executor.address != known.address:
         return BadEntry(EntryFault.OTHER_PLACE, f"address {executor.address}")
     if executor.pool != known.pool:
         return BadEntry(EntryFault.OTHER_PLACE, f"pool {executor.pool}")
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/domains.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/domains.py
@@ -7,7 +7,7 @@
 from .evacuation import list_unknown_domains
 from .events import log_event
 from .fleet import ExecutorState
-from .owned import OwnedCell
+from .owned_cell import OwnedCell
 
 
 def list_domains(cell: OwnedCell) -> list[str]:
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/evacuating.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/evacuating.py
@@ -16,7 +16,7 @@
 from .events import log_event
 from .fleet import ExecutorState
 from .keystore import CommitOutcome, Committed, Mismatch, Put, Transaction
-from .owned import OwnedCell
+from .owned_cell import OwnedCell
 from .progress import UNSETTLED, Attempt, Phase
 
 CONFIRM_TIMEOUT_S = 2.0
@@ -75,7 +75,7 @@
     if not isinstance(outcome, Committed):
         return _describe_failure(outcome)
     cell.parts.evacuations.note_written(key, outcome.revision, is_wanted)
-    cell.note_evacuations()
+    cell.apply_evacuations()
     if not is_wanted:
         asked_by = tuple(cell.parts.evacuations.list_requesters(domain))
         return InForce(domain, _count_runs(cell, domain), asked_by)
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/lives.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/executor_restart.py
@@ -12,13 +12,13 @@
 import trio
 
 from .executor_link import Report
-from .fleet import CLOCK_DRIFT, LAPSE_MARGIN_S, ExecutorState, make_executor
+from .fleet import CLOCK_DRIFT, LEASE_MARGIN_S, ExecutorState, make_executor_state
 from .late_starts import MAX_ORDER_DELAY_S
-from .owned import OwnedCell
+from .owned_cell import OwnedCell
 from .progress import UNSETTLED, Attempt, Phase
 
 
-def begin_life(
+def replace_instance(
     cell: OwnedCell, old: ExecutorState, report: Report, asked_at: float
 ) -> ExecutorState:
     """Replace an executor's state by that of the new instance that reported, and return it.
@@ -38,10 +38,10 @@
     for attempt in carried_over:
         _move(cell, attempt, old, new)
     cell.executors[new.id] = new
-    cell.note_use()
+    cell.notify_use_changed()
     # Before the move: an attempt with an unanswered start may have crashed the previous instance.
     old.mark_ended()
-    if old.heard:
+    if old.has_reported:
         cell.handle_instance_end(old)
     for attempt in old.list_held():
         if cell.late_starts.is_open(attempt):
@@ -56,7 +56,7 @@
     if new.list_held():
         # Set after the stops are queued: with no lease they would count as expired in the first
         # report.
-        new.lapse_by = now + _find_max_lease_s(cell, new)
+        new.lease_ends_by = now + _find_max_lease_s(cell, new)
     return new
 
 
@@ -65,23 +65,23 @@
 
     Their deadlines are on the other clock, so the new instance may grant its longest lease.
     """
-    late_s = MAX_ORDER_DELAY_S if cell.late_starts.list_open(new.id) else 0.0
-    return late_s + cell.parts.timing.longest_hold_s * (1 + CLOCK_DRIFT) + LAPSE_MARGIN_S
+    late_s = MAX_ORDER_DELAY_S if cell.late_starts.list_unresolved(new.id) else 0.0
+    return late_s + cell.parts.timing.max_executor_lease_s * (1 + CLOCK_DRIFT) + LEASE_MARGIN_S
 
 
 def _make_state(cell: OwnedCell, old: ExecutorState, born: int, now: float) -> ExecutorState:
     """Return the state of a new instance, from its own entry if that was read."""
-    has_own_entry = old.announced is not None and old.announced.born == born
+    has_own_entry = old.announced_instance is not None and old.announced_instance.born == born
     executor = replace(old.executor, born=born, leaves_in_s=None)
-    if has_own_entry and old.announced is not None:
-        executor = old.announced
-    new = make_executor(executor, now)
+    if has_own_entry and old.announced_instance is not None:
+        executor = old.announced_instance
+    new = make_executor_state(executor, now)
     new.has_own_entry = has_own_entry
-    new.is_set_aside = old.is_set_aside
+    new.has_unusable_entry = old.has_unusable_entry
     new.listed = old.listed
     new.was_listed = old.was_listed
-    new.is_named = old.is_named
-    new.is_lapsing = old.is_lapsing
+    new.is_listed_by_jobs = old.is_listed_by_jobs
+    new.is_renewal_suspended = old.is_renewal_suspended
     new.evacuated = cell.is_evacuated(new)
     return new
 
@@ -89,16 +89,16 @@
 def _was_started_after(attempt: Attempt, asked_at: float) -> bool:
     """Return whether a start is in flight, or was acknowledged after the report was requested."""
     is_answered = asked_at < attempt.settled_at < UNSETTLED
-    return attempt.is_on_its_way or (is_answered and attempt.phase is Phase.RUNNING)
+    return attempt.is_in_flight or (is_answered and attempt.phase is Phase.RUNNING)
 
 
 def _move(cell: OwnedCell, attempt: Attempt, old: ExecutorState, new: ExecutorState) -> None:
-    is_stray = old.strays.get((attempt.task, attempt.run)) is attempt
+    is_orphan = old.orphans.get((attempt.task, attempt.run)) is attempt
     old.release(attempt)
     attempt.life = new.life
     task = cell.find_task(attempt.task)
-    if is_stray:
-        new.occupy_astray(attempt)
+    if is_orphan:
+        new.occupy_orphan(attempt)
         return
     new.occupy(attempt)
     if task is not None and task.crashes:
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/watching.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/executor_watch.py
@@ -6,7 +6,6 @@
 
 import trio
 
-from .confirming import needs_confirmation, probe_repeatedly, send_hold
 from .contact import needs_look
 from .events import describe_life, describe_run, log_event
 from .executor_link import (
@@ -21,12 +20,13 @@
     Unanswered,
     Unhealthy,
 )
-from .fleet import CLOCK_DRIFT, LAPSE_MARGIN_S, ExecutorState
-from .lives import begin_life
+from .executor_restart import replace_instance
+from .fleet import CLOCK_DRIFT, LEASE_MARGIN_S, ExecutorState
 from .model import Executor, Life, TaskKey
-from .owned import OwnedCell
+from .owned_cell import OwnedCell
 from .progress import UNSETTLED, Attempt, JobState, Phase
 from .speed import measure_speed
+from .stop_confirmation import needs_confirmation, probe_repeatedly, send_hold
 
 WAIT_S = 1.0
 SHORT_WAIT_S = 0.35
@@ -79,11 +79,11 @@
         state = self.state
         return (
             not state.dead
-            and state.heard
-            and state.silent_since is None
+            and state.has_reported
+            and state.unresponsive_since is None
             and state.listed
             and not any(map(_may_exist, state.list_held()))
-            and state.seen == state.noted
+            and state.recorded_end == state.processed_end
             and state.acknowledged >= state.find_acknowledgeable(trio.current_time())
             and self._find_unprobed_entry() is None
             and not self.cell.may_receive_late_start(state)
@@ -95,13 +95,13 @@
 
         Entries are compared by identity, so that a rewritten entry is probed again.
         """
-        entry = self.state.announced or self.state.elsewhere
+        entry = self.state.announced_instance or self.state.moved_entry
         return None if entry is self.state.asked else entry
 
     def _can_be_dropped(self) -> bool:
-        if self.state.listed or self.cell.late_starts.list_open(self.state.id):
+        if self.state.listed or self.cell.late_starts.list_unresolved(self.state.id):
             return False
-        return trio.current_time() > self.state.lapse_by
+        return trio.current_time() > self.state.lease_ends_by
 
     async def _renew_once(self) -> None:
         state, entry = self.state, self._find_unprobed_entry()
@@ -140,7 +140,10 @@
         # low.
         is_kept = state.list_held() or not state.listed or self.cell.may_receive_late_start(state)
         may_wait = (
-            state.heard and is_kept and state.seen == state.noted and not state.ack_deferred_until
+            state.has_reported
+            and is_kept
+            and state.recorded_end == state.processed_end
+            and not state.ack_deferred_until
         )
         # A new instance has no run to wait for, so do not long-poll after a failure.
         may_wait = may_wait and entry is None and not self._failed_holds
@@ -156,11 +159,11 @@
             return
         state = self.state
         await self._handle_report(outcome, order, sent)
-        if state.elsewhere is entry:
-            state.describe(entry)
+        if state.moved_entry is entry:
+            state.apply_entry(entry)
             state.evacuated = self.cell.is_evacuated(state)
             log_event("executor.moved", **describe_life(state.life), address=entry.address)
-            self.cell.note_use()
+            self.cell.notify_use_changed()
             self.cell.wake_planner()
 
     def _choose_acknowledged_end(self) -> int:
@@ -170,7 +173,7 @@
         ends that have not been read.
         """
         state = self.state
-        has_reported = state.heard or state.clock is not None
+        has_reported = state.has_reported or state.clock is not None
         is_confirmed = has_reported and self._failed_holds == 0
         seen = state.find_acknowledgeable(trio.current_time())
         return seen if is_confirmed and seen > state.acknowledged else 0
@@ -181,14 +184,14 @@
         self._log_instance(report, order)
         if report.born and report.born != self.state.life.born:
             # Runs, end numbers and the clock belong to one instance, so none may be carried over.
-            self.state = begin_life(self.cell, self.state, report, sent)
+            self.state = replace_instance(self.cell, self.state, report, sent)
         else:
             self.state.acknowledged = max(self.state.acknowledged, order.seen)
         state = self.state
-        if not state.heard or state.silent_since is not None:
+        if not state.has_reported or state.unresponsive_since is not None:
             self.cell.crashes.withdraw(state)
-        if state.is_lapsing:
-            self.cell.note_use()
+        if state.is_renewal_suspended:
+            self.cell.notify_use_changed()
         await self._take_report(report, sent, trio.current_time())
 
     def _log_instance(self, report: Report, order: HoldOrder) -> None:
@@ -201,7 +204,7 @@
             "executor.reports",
             **describe_life(life),
             born_before=self.state.life.born,
-            noted=self.state.noted,
+            noted=self.state.processed_end,
             told_seen=order.seen,
             ends=[min(numbers), max(numbers)] if numbers else [],
             runs=len(report.running),
@@ -238,7 +241,7 @@
         """
         if self._failed_holds or all(map(_is_stop_pending, self.state.list_held())):
             return None
-        return self.state.deadline_ms(now, self.cell.parts.timing.hold_s)
+        return self.state.deadline_ms(now, self.cell.parts.timing.executor_lease_s)
 
     async def _handle_failed_hold(self, outcome: HoldOutcome) -> None:
         now = trio.current_time()
@@ -246,18 +249,18 @@
         if self._failed_holds == 1:
             self._log_silence(outcome, now)
         if isinstance(outcome, Unanswered):
-            if self.state.silent_since is None:
+            if self.state.unresponsive_since is None:
                 self.cell.crashes.note_silence(self.state, now)
                 # Sent until it answers, as it may be another instance by then.
                 self.cell.stop_late_starts(self.state)
-                self.cell.note_use()
-            self.state.has_refused |= outcome.unsent
+                self.cell.notify_use_changed()
+            self.state.refuses_connections |= outcome.unsent
             # Recorded at once, although it may only be partitioned: this owner may be gone before
             # the lease ends.
             self.cell.crashes.note_down(self.state)
         self.state.notify_waiters()
-        self.state.rest_until = max(self.state.rest_until, now + MAX_PAUSE_S)
-        if now > self.state.lapse_by and self.state.heard:
+        self.state.backoff_until = max(self.state.backoff_until, now + MAX_PAUSE_S)
+        if now > self.state.lease_ends_by and self.state.has_reported:
             self.cell.crashes.note_down(self.state)
             self.cell.fail_crashing_jobs_at(self.state)
             self._close_expired("the holding time has run out")
@@ -297,26 +300,26 @@
         state.mark_reported(received)
         state.read_clock(sent, received, report.clock_ms)
         listed = {(run.task, run.run) for run in report.running}
-        fresh = [end for end in report.ended if end.number > state.noted]
+        fresh = [end for end in report.ended if end.number > state.processed_end]
         for end in sorted(fresh, key=lambda end: end.number):
-            state.noted = end.number
-            self.cell.note_end(state, end)
+            state.processed_end = end.number
+            self.cell.process_end(state, end)
             self._defer_acknowledgement(end)
-        if report.running and state.lapse_by < received:
+        if report.running and state.lease_ends_by < received:
             # Runs that a new instance started for a late order would otherwise be closed at once.
-            longest_s = self.cell.parts.timing.longest_hold_s * (1 + CLOCK_DRIFT)
-            state.lapse_by = received + longest_s + LAPSE_MARGIN_S
+            longest_s = self.cell.parts.timing.max_executor_lease_s * (1 + CLOCK_DRIFT)
+            state.lease_ends_by = received + longest_s + LEASE_MARGIN_S
         for run in report.running:
             self._update_running(run, received)
         if report.is_complete:
             self._close_unlisted(listed, sent)
             self._close_unanswered_stops(listed, sent)
-        if not state.heard and report.is_complete:
-            state.heard = True
+        if not state.has_reported and report.is_complete:
+            state.has_reported = True
             log_event(
                 "executor.heard", **describe_life(state.life), runs=len(listed), ends=len(fresh)
             )
-            self.cell.note_use()
+            self.cell.notify_use_changed()
             self.cell.wake_planner()
         await self._wait_recorded()
 
@@ -333,12 +336,12 @@
     async def _wait_recorded(self) -> None:
         """Acknowledge ends only once they are in the store."""
         state = self.state
-        if state.seen == state.noted:
+        if state.recorded_end == state.processed_end:
             return
-        noted = state.noted
+        noted = state.processed_end
         with trio.move_on_after(RECORD_TIMEOUT_S):
             await self.cell.recorder.wait_recorded()
-            state.seen = noted
+            state.recorded_end = noted
 
     def _update_running(self, run: RunningRun, received: float) -> None:
         task = self.cell.find_task(run.task)
@@ -363,13 +366,13 @@
         if attempt.phase is Phase.STARTING:
             attempt.phase = Phase.RUNNING
             attempt.settled_at = received
-            attempt.moved_at = received
+            attempt.progressed_at = received
         factor = self._far_factor(job, attempt)
         policy = self.cell.parts.policy
         measure_speed(job, attempt, self.state, run.percent, received, factor, policy)
         if run.percent > attempt.percent:
             attempt.percent = run.percent
-            attempt.moved_at = received
+            attempt.progressed_at = received
             if attempt.began_at is None:
                 attempt.began_at = received
                 attempt.began_percent = run.percent
@@ -395,7 +398,7 @@
         attempt = Attempt(run.task, run.run, self.state.life, step.spec.need, received)
         attempt.phase = Phase.RUNNING
         attempt.settled_at = received
-        attempt.moved_at = received
+        attempt.progressed_at = received
         attempt.seen = True
         attempt.percent = run.percent
         attempt.began_at = received
@@ -414,7 +417,7 @@
 
         Otherwise an executor that answers holds but refuses every stop would block its tasks.
         """
-        if sent <= self.state.lapse_by:
+        if sent <= self.state.lease_ends_by:
             return
         for attempt in self.state.list_held():
             if _is_stop_pending(attempt) and (attempt.task, attempt.run) not in listed:
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/used.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/executors_in_use.py
@@ -12,13 +12,13 @@
 from heronthread_coordination import Unavailable
 
 from .events import log_event
-from .fleet import ExecutorState, make_executor
+from .fleet import ExecutorState, make_executor_state
 from .keystore import Committed, Listing, Mismatch, Put, Transaction
 from .model import Executor, Resources, TaskKey
-from .owned import OwnedCell
+from .owned_cell import OwnedCell
 from .progress import JobState
 from .record import MALFORMED, Unreadable, decode_instance, read_remaining_s, round_remaining_s
-from .task_names import Names
+from .task_masks import TaskMasks
 
 USED_KEY = "used/0"
 NOTE_INTERVAL_S = 1.0
@@ -36,17 +36,17 @@
 class UsedExecutor:
     """The recorded state of an executor in use; `born` is its start time (Unix ms), 0 if unknown.
 
-    `tasks` are those that an earlier version listed there, None for any. `is_named`: the store
-    lists the executor for every job that may be there. `lapses_in_s`: its lease is not renewed
-    until this is withdrawn, so everything there ends within this time (s) after the write; None if
-    the lease may be renewed.
+    `tasks` are those that an earlier version listed there, None for any. `is_listed_by_jobs`: the
+    store lists the executor for every job that may be there. `lapses_in_s`: its lease is not
+    renewed until this is withdrawn, so everything there ends within this time (s) after the write;
+    None if the lease may be renewed.
     """
 
     address: str
     pool: str
     tasks: tuple[TaskKey, ...] | None = None
     born: int = 0
-    is_named: bool = False
+    is_listed_by_jobs: bool = False
     lapses_in_s: float | None = None
 
 
@@ -79,17 +79,19 @@
         executor = Executor(
             executor_id, row.address, row.pool, "", "", (), Resources(), born=row.born
         )
-        state = make_executor(executor, now)
+        state = make_executor_state(executor, now)
         state.listed = False
         state.recorded = True
         state.is_inherited = True
-        state.is_named = row.is_named
+        state.is_listed_by_jobs = row.is_listed_by_jobs
         if row.tasks is not None:
             state.only_tasks = frozenset(row.tasks)
         # Continue the recorded wait: restarting it at each takeover would delay jobs without limit.
         left_s = self._cell.parts.timing.max_unreported_run_s
-        state.lapse_by = now + min(left_s, left_s if row.lapses_in_s is None else row.lapses_in_s)
-        state.is_lapsing = row.lapses_in_s is not None
+        state.lease_ends_by = now + min(
+            left_s, left_s if row.lapses_in_s is None else row.lapses_in_s
+        )
+        state.is_renewal_suspended = row.lapses_in_s is not None
         return state
 
     async def run(self) -> None:
@@ -105,15 +107,15 @@
     def _is_any_lapsing(self) -> bool:
         now = trio.current_time()
         states = self._cell.executors.values()
-        return any(now < s.lapse_by and self._find_unresponsive_s(s, now) > 0 for s in states)
+        return any(now < s.lease_ends_by and self._find_unresponsive_s(s, now) > 0 for s in states)
 
     def _find_unresponsive_s(self, state: ExecutorState, now: float) -> float:
         """Return for how long (s) an executor has not answered this owner, 0.0 if it does.
 
         One that has never answered counts from the start of the term.
         """
-        if state.silent_since is not None:
-            return now - state.silent_since
+        if state.unresponsive_since is not None:
+            return now - state.unresponsive_since
         return now - self._began if state.is_inherited and state.clock is None else 0.0
 
     async def _write(self) -> None:
@@ -126,7 +128,7 @@
                 self._mark_recorded(states, used)
                 return
             for state in states:
-                state.is_lapsing |= used[state.id].lapses_in_s is not None
+                state.is_renewal_suspended |= used[state.id].lapses_in_s is not None
             transaction = Transaction(
                 (self._cell.term.guard, (USED_KEY, self._revision)),
                 (Put(USED_KEY, encode_used(used)),),
@@ -146,12 +148,17 @@
 
     def _describe(self, state: ExecutorState, now: float) -> UsedExecutor:
         executor, tasks, lapses_in_s = state.executor, None, None
-        if not state.heard and state.only_tasks is not None:
+        if not state.has_reported and state.only_tasks is not None:
             tasks = tuple(sorted(state.only_tasks))
         if self._find_unresponsive_s(state, now) >= LAPSING_AFTER_S:
-            lapses_in_s = round_remaining_s(state.lapse_by - now)
+            lapses_in_s = round_remaining_s(state.lease_ends_by - now)
         return UsedExecutor(
-            executor.address, executor.pool, tasks, state.life.born, state.is_named, lapses_in_s
+            executor.address,
+            executor.pool,
+            tasks,
+            state.life.born,
+            state.is_listed_by_jobs,
+            lapses_in_s,
         )
 
     def _update_revision(self, outcome: Mismatch) -> None:
@@ -171,7 +178,7 @@
         """
         for state in states:
             state.recorded = True
-            state.is_lapsing = used[state.id].lapses_in_s is not None
+            state.is_renewal_suspended = used[state.id].lapses_in_s is not None
         self._cell.wake_planner()
 
     async def _record_adopted(self) -> None:
@@ -179,15 +186,19 @@
 
         From then on only jobs that list the executor may be there, instead of any job.
         """
-        heard = [s for s in self._cell.executors.values() if s.heard and not s.is_named]
-        if not heard:
+        reporting = [
+            s for s in self._cell.executors.values() if s.has_reported and not s.is_listed_by_jobs
+        ]
+        if not reporting:
             return
-        for job in self._list_jobs_at(heard):
+        for job in self._list_jobs_at(reporting):
             self._cell.recorder.mark(job)
         await self._cell.recorder.wait_recorded()
-        for state in heard:
+        for state in reporting:
             jobs = self._list_jobs_at([state])
-            state.is_named = all(job.places.covers(_locate_held(job, state)) for job in jobs)
+            state.is_listed_by_jobs = all(
+                job.places.covers(_locate_held(job, state)) for job in jobs
+            )
 
     def _list_jobs_at(self, states: list[ExecutorState]) -> list[JobState]:
         """Return the jobs of which runs may be at some executors."""
@@ -195,7 +206,7 @@
         return [self._cell.jobs[name] for name in names if name in self._cell.jobs]
 
 
-def _locate_held(job: JobState, state: ExecutorState) -> Names:
+def _locate_held(job: JobState, state: ExecutorState) -> TaskMasks:
     """Return the placements of a job's runs at an executor."""
     return job.locate_attempts(
         attempt for attempt in state.list_held() if attempt.task.job == job.spec.id
@@ -209,7 +220,7 @@
 
 
 def _encode_row(row: UsedExecutor) -> list[Any]:
-    values = [row.address, row.pool, row.tasks, row.born, row.is_named]
+    values = [row.address, row.pool, row.tasks, row.born, row.is_listed_by_jobs]
     # Omitted if None, so that earlier versions can read the record.
     return values if row.lapses_in_s is None else [*values, row.lapses_in_s]
 
@@ -217,7 +228,7 @@
 def decode_used(data: bytes) -> dict[str, UsedExecutor] | Unreadable:
     """Decode the executors in use, by id.
 
-    Earlier versions stored no start time and no `is_named`.
+    Earlier versions stored no start time and no `is_listed_by_jobs`.
     """
     try:
         return {str(name): _read_row(name, *row) for name, row in json.loads(data).items()}
@@ -231,15 +242,15 @@
     pool: Any,
     tasks: Any,
     born: Any = 0,
-    is_named: Any = False,
+    is_listed_by_jobs: Any = False,
     lapses_in_s: Any = None,
 ) -> UsedExecutor:
-    if not isinstance(is_named, bool):
-        raise TypeError(f"is_named of executor {name} is not a boolean")
+    if not isinstance(is_listed_by_jobs, bool):
+        raise TypeError(f"is_listed_by_jobs of executor {name} is not a boolean")
     keys = None if tasks is None else tuple(map(_read_task, tasks))
     life = decode_instance(name, born)
     left_s = read_remaining_s(lapses_in_s)
-    return UsedExecutor(str(address), str(pool), keys, life.born, is_named, left_s)
+    return UsedExecutor(str(address), str(pool), keys, life.born, is_listed_by_jobs, left_s)
 
 
 def _read_task(value: list[Any]) -> TaskKey:
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/fleet.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/fleet.py
@@ -11,7 +11,7 @@
 from .progress import Attempt, Phase
 
 CLOCK_DRIFT = 0.03
-LAPSE_MARGIN_S = 0.3
+LEASE_MARGIN_S = 0.3
 MAX_ROUND_TRIP_S = 0.3
 """How much a long round trip may extend a lease, out of the 1.2 s that a new owner waits longer."""
 MIN_BACKOFF_S = 0.7
@@ -41,68 +41,70 @@
     """One instance of an executor; times are on trio's clock unless stated otherwise.
 
     - `clock`: (sent, received, clock in ms) of the clock reading with the shortest round trip.
-    - `lapse_by`: when everything there has certainly ended unless the lease is renewed.
-    - `noted`: the highest end processed; `seen`: the highest end in the store; `acknowledged`: the
-      highest end acknowledged to the executor. Ends in `ack_deferred_until` are acknowledged at
-      their times.
-    - `heard`: it has reported to this owner.
+    - `lease_ends_by`: when everything there has certainly ended unless the lease is renewed.
+    - `processed_end`: the highest end processed; `recorded_end`: the highest end in the store;
+      `acknowledged`: the highest end acknowledged to the executor. Ends in `ack_deferred_until` are
+      acknowledged at their times.
+    - `has_reported`: it has reported to this owner.
     - `listed`: its entry exists; `was_listed`: it existed at some time in this term.
-    - `silent_since`: when it stopped reporting, None while it reports. `at_silence`: its attempts
-      then with their ages (s); `listed_at_silence`: whether its entry existed then; `has_refused`:
-      whether its address has refused connections since.
+    - `unresponsive_since`: when it stopped reporting, None while it reports.
+      `held_when_unresponsive`: its attempts then with their ages (s);
+      `was_listed_when_unresponsive`: whether its entry existed then; `refuses_connections`: whether
+      its address has refused connections since.
     - `exclusive_until`: until then nothing is started beside a task under which executors crashed.
-    - `recorded`: the store lists it as in use. `is_lapsing`: the store says, or may say, that its
-      lease is not renewed, so it must not be renewed before that is withdrawn.
-    - `is_inherited`: an earlier owner may have used it. `is_said_anew`: its entry names another
-      instance than the recorded one. `is_named`: only jobs that list it may be there; otherwise
-      `only_tasks` are the tasks that may be, None for any.
-    - `strays`: orphaned runs, which are not their tasks' attempts or belong to no known job, until
+    - `recorded`: the store lists it as in use. `is_renewal_suspended`: the store says, or may say,
+      that its lease is not renewed, so it must not be renewed before that is withdrawn.
+    - `is_inherited`: an earlier owner may have used it. `is_entry_of_other_instance`: its entry
+      names another instance than the recorded one. `is_listed_by_jobs`: only jobs that list it may
+      be there; otherwise `only_tasks` are the tasks that may be, None for any.
+    - `orphans`: orphaned runs, which are not their tasks' attempts or belong to no known job, until
       each is stopped.
-    - `evacuated`: its failure domain takes no new work. `is_set_aside`: its entry is not usable.
-    - `announced`: an entry for another instance, until that one reports. `elsewhere`: an entry for
-      this instance at another address, until it answers there. `asked`: the last of these entries
-      that was probed. `has_own_entry`: an entry of this instance was read.
-    - `reported_at`: when its last report arrived. `is_doubted`: it must report once more before it
-      gets work.
+    - `evacuated`: its failure domain takes no new work. `has_unusable_entry`: its entry is not
+      usable.
+    - `announced_instance`: an entry for another instance, until that one reports. `moved_entry`: an
+      entry for this instance at another address, until it answers there. `asked`: the last of these
+      entries that was probed. `has_own_entry`: an entry of this instance was read.
+    - `reported_at`: when its last report arrived. `needs_report`: it must report once more before
+      it gets work.
     - `news`: set and replaced when it reports or fails to. `stop_settled`: set when an unreported
       run was stopped.
     """
 
     executor: Executor
     attempts: dict[TaskKey, Attempt] = field(default_factory=dict)
-    strays: dict[tuple[TaskKey, int], Attempt] = field(default_factory=dict)
+    orphans: dict[tuple[TaskKey, int], Attempt] = field(default_factory=dict)
     free: Resources = NOTHING
     clock: tuple[float, float, int] | None = None
-    lapse_by: float = float("-inf")
-    noted: int = 0
-    seen: int = 0
+    lease_ends_by: float = float("-inf")
+    processed_end: int = 0
+    recorded_end: int = 0
     acknowledged: int = 0
     ack_deferred_until: dict[int, float] = field(default_factory=dict)
-    heard: bool = False
-    silent_since: float | None = None
-    at_silence: tuple[tuple[Attempt, float], ...] = ()
-    listed_at_silence: bool = True
-    has_refused: bool = False
+    has_reported: bool = False
+    unresponsive_since: float | None = None
+    held_when_unresponsive: tuple[tuple[Attempt, float], ...] = ()
+    was_listed_when_unresponsive: bool = True
+    refuses_connections: bool = False
     exclusive_until: float = 0.0
     listed: bool = True
     was_listed: bool = False
     recorded: bool = False
-    is_lapsing: bool = False
+    is_renewal_suspended: bool = False
     is_inherited: bool = False
-    is_said_anew: bool = False
-    is_named: bool = False
+    is_entry_of_other_instance: bool = False
+    is_listed_by_jobs: bool = False
     only_tasks: frozenset[TaskKey] | None = None
     dead: bool = False
     evacuated: bool = False
-    is_set_aside: bool = False
-    announced: Executor | None = None
-    elsewhere: Executor | None = None
+    has_unusable_entry: bool = False
+    announced_instance: Executor | None = None
+    moved_entry: Executor | None = None
     asked: Executor | None = None
     has_own_entry: bool = True
     reported_at: float = float("-inf")
-    is_doubted: bool = False
+    needs_report: bool = False
     leaves_at: float | None = None
-    rest_until: float = 0.0
+    backoff_until: float = 0.0
     backoff_streak: int = 0
     failed_streak: int = 0
     failed_jobs: set[str] = field(default_factory=set)
@@ -134,17 +136,17 @@
         """Return why its state is not known or not recorded, so that nothing may be sent."""
         if self.dead:
             return WorkRefusal.ENDED
-        if not self.heard:
+        if not self.has_reported:
             return WorkRefusal.NOT_HEARD
-        if self.silent_since is not None:
+        if self.unresponsive_since is not None:
             return WorkRefusal.SILENT
-        if self.is_doubted:
+        if self.needs_report:
             return WorkRefusal.NEEDS_REPORT
-        if not self.recorded or self.is_lapsing:
+        if not self.recorded or self.is_renewal_suspended:
             return WorkRefusal.NOT_RECORDED
-        if self.is_set_aside:
+        if self.has_unusable_entry:
             return WorkRefusal.SET_ASIDE
-        if self.announced is not None:
+        if self.announced_instance is not None:
             return WorkRefusal.OTHER_INSTANCE
         return None if self.has_own_entry else WorkRefusal.NO_OWN_ENTRY
 
@@ -156,7 +158,7 @@
             return WorkRefusal.EVACUATED
         if self.leaves_at is not None:
             return WorkRefusal.LEAVING
-        if now < self.rest_until:
+        if now < self.backoff_until:
             return WorkRefusal.RESTING
         return WorkRefusal.APART if now < self.exclusive_until else None
 
@@ -166,27 +168,27 @@
         self.free = self.free.minus(attempt.need)
         self.wake.set()
 
-    def occupy_astray(self, attempt: Attempt) -> None:
+    def occupy_orphan(self, attempt: Attempt) -> None:
         """Reserve resources for an orphaned run."""
-        self.strays[attempt.task, attempt.run] = attempt
+        self.orphans[attempt.task, attempt.run] = attempt
         self.free = self.free.minus(attempt.need)
         self.wake.set()
 
     def holds(self, attempt: Attempt) -> bool:
         """Return whether an attempt is, or may be, here."""
-        stray = self.strays.get((attempt.task, attempt.run))
-        return attempt in (self.attempts.get(attempt.task), stray)
+        orphan = self.orphans.get((attempt.task, attempt.run))
+        return attempt in (self.attempts.get(attempt.task), orphan)
 
     def list_held(self) -> list[Attempt]:
         """Return all attempts and orphaned runs that are, or may be, here."""
-        return [*self.attempts.values(), *self.strays.values()]
+        return [*self.attempts.values(), *self.orphans.values()]
 
     def release(self, attempt: Attempt) -> None:
         """Free an attempt's resources."""
         if self.attempts.get(attempt.task) is attempt:
             del self.attempts[attempt.task]
-        elif self.strays.get((attempt.task, attempt.run)) is attempt:
-            del self.strays[attempt.task, attempt.run]
+        elif self.orphans.get((attempt.task, attempt.run)) is attempt:
+            del self.orphans[attempt.task, attempt.run]
         else:
             return
         self.free = self.free.plus(attempt.need)
@@ -199,7 +201,7 @@
                 soon = soon.plus(attempt.need)
         return soon
 
-    def describe(self, executor: Executor) -> None:
+    def apply_entry(self, executor: Executor) -> None:
         """Apply a valid entry of this instance."""
         used = NOTHING
         for attempt in self.list_held():
@@ -207,8 +209,8 @@
         self.executor = executor
         self.free = executor.capacity.minus(used)
         self.listed = self.was_listed = True
-        self.is_set_aside = False
-        self.announced = self.elsewhere = None
+        self.has_unusable_entry = False
+        self.announced_instance = self.moved_entry = None
         self.has_own_entry = True
 
     def mark_ended(self) -> None:
@@ -220,7 +222,7 @@
     def mark_reported(self, received: float) -> None:
         """Record that it has reported."""
         self.reported_at = received
-        self.is_doubted = False
+        self.needs_report = False
         self.notify_waiters()
 
     def notify_waiters(self) -> None:
@@ -237,21 +239,21 @@
                 return
         self.clock = (sent, received, clock_ms)
 
-    def deadline_ms(self, now: float, hold_s: float) -> int | None:
-        """Return the time on its clock that is `hold_s` from now, and extend `lapse_by` to it.
+    def deadline_ms(self, now: float, executor_lease_s: float) -> int | None:
+        """Return the time on its clock at which a lease from now ends, and extend `lease_ends_by`.
 
         None while its clock is unknown, or while the store says that its lease is not renewed.
         """
-        if self.clock is None or self.is_lapsing:
+        if self.clock is None or self.is_renewal_suspended:
             return None
         sent, received, clock_ms = self.clock
         # A reading may be as old as its round trip, which is seconds for a long poll. Without a
         # limit that would extend the lease beyond what a new owner waits for.
         elapsed = now - max(sent, received - MAX_ROUND_TRIP_S)
-        until_ms = clock_ms + int((elapsed + hold_s) * 1000)
+        until_ms = clock_ms + int((elapsed + executor_lease_s) * 1000)
         remaining = (until_ms - clock_ms) / 1000
-        lapse = received + remaining * (1 + CLOCK_DRIFT) + LAPSE_MARGIN_S
-        self.lapse_by = max(self.lapse_by, lapse)
+        lapse = received + remaining * (1 + CLOCK_DRIFT) + LEASE_MARGIN_S
+        self.lease_ends_by = max(self.lease_ends_by, lapse)
         return until_ms
 
     def find_acknowledgeable(self, now: float) -> int:
@@ -259,22 +261,24 @@
         self.ack_deferred_until = {
             n: until for n, until in self.ack_deferred_until.items() if until > now
         }
-        return min(self.seen, min(self.ack_deferred_until, default=self.seen + 1) - 1)
+        return min(
+            self.recorded_end, min(self.ack_deferred_until, default=self.recorded_end + 1) - 1
+        )
 
-    def note_bad(self, now: float, longest_s: float = MAX_BACKOFF_S) -> None:
+    def back_off(self, now: float, longest_s: float = MAX_BACKOFF_S) -> None:
         """Back off from starting work here, for longer with each failure in a row."""
         self.backoff_streak += 1
-        self.rest_until = now + min(longest_s, MIN_BACKOFF_S * 2 ** (self.backoff_streak - 1))
+        self.backoff_until = now + min(longest_s, MIN_BACKOFF_S * 2 ** (self.backoff_streak - 1))
 
     def reset_backoff(self) -> None:
         """Clear the backoff after a successful run."""
         self.backoff_streak = 0
         self.failed_streak = 0
         self.failed_jobs.clear()
-        self.rest_until = 0.0
+        self.backoff_until = 0.0
 
 
-def make_executor(executor: Executor, now: float) -> ExecutorState:
+def make_executor_state(executor: Executor, now: float) -> ExecutorState:
     """Return the state of an executor that has not reported yet."""
     state = ExecutorState(executor, free=executor.capacity)
     if executor.leaves_in_s is not None:
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/host.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/host.py
@@ -26,7 +26,7 @@
 from .model import JobSpec
 from .news import NewsExchange
 from .overview import describe_cell, describe_job
-from .owned import OwnerParts
+from .owned_cell import OwnerParts
 from .owner import JobView, Owner
 from .peering import (
     BAD_REQUEST,
@@ -325,7 +325,7 @@
             return (OK, {"count": count}) if count is not None else (NOT_HERE, {})
         if operation == Operation.NOTE_JOB:
             if self.owner is not None and self.tenure.is_valid:
-                self.owner.note_job(decode_record(body))
+                self.owner.apply_job(decode_record(body))
             return OK, {}
         if operation == Operation.RELAY_WRITE:
             return OK, await write_for_peer(self.store, body)
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/host_state.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/host_state.py
@@ -16,7 +16,7 @@
 from .executor_link import ExecutorLink
 from .keystore import KeyStore
 from .observed import ObservedStore
-from .owned import Timing
+from .owned_cell import Timing
 from .owner import Owner
 from .peer import Peers, PeerUnreachable
 from .peering import CALL_S, MalformedReply, PeerReply, call_peer
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/housekeeping.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/housekeeping.py
@@ -6,7 +6,7 @@
 
 from .events import log_event
 from .fleet import ExecutorState
-from .owned import OwnedCell
+from .owned_cell import OwnedCell
 from .progress import Attempt, JobState, Phase, StepState
 from .room import count_fits
 from .speed import SLOW_FOR_S, is_whole, remaining_s, restarted_s, should_move, usual_ratio
@@ -42,7 +42,7 @@
     def _check_gangs(self, job: JobState, now: float) -> None:
         """Stop the remaining members of a gang that has been incomplete for `PARTIAL_GANG_S`."""
         for step in job.steps:
-            is_partial = step.spec.gang and 0 < step.held_count < len(step.tasks)
+            is_partial = step.spec.gang and 0 < step.attempt_count < len(step.tasks)
             if not is_partial or step.is_done:
                 step.partial_since = None
             elif step.partial_since is None:
@@ -65,7 +65,7 @@
     def _check_progress(self, state: ExecutorState, attempt: Attempt, now: float) -> None:
         if attempt.phase is not Phase.RUNNING or attempt.percent >= 99:
             return
-        if now - attempt.moved_at < STALL_S or not state.heard:
+        if now - attempt.progressed_at < STALL_S or not state.has_reported:
             return
         job = self.cell.jobs.get(attempt.task.job)
         if job is None:
@@ -75,7 +75,7 @@
             return
         if step.spec.gang and not (is_whole(step, attempt) and _is_furthest_behind(step, attempt)):
             return
-        state.note_bad(now)
+        state.back_off(now)
         state.slow_until = max(state.slow_until, now + SLOW_FOR_S)
         task = job.task(attempt.task)
         if task is not None:
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/intake.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/intake.py
@@ -20,8 +20,8 @@
     ReadOutcome,
     Transaction,
 )
-from .owned import job_key
-from .record import CancelledUntaken, JobRecord, Unreadable, decode_job
+from .owned_cell import job_key
+from .record import CancelledBeforeAccept, JobRecord, Unreadable, decode_job
 
 TOMBSTONE_S = 30.0
 """Lifetime of the tombstone for a job cancelled before it was accepted; several times longer than
@@ -92,7 +92,7 @@
 def _read_existing(item: Item) -> Taken | NotTaken | Unsettled:
     """Return the outcome for a job whose key already exists."""
     record = decode_job(item.value)
-    if isinstance(record, CancelledUntaken):
+    if isinstance(record, CancelledBeforeAccept):
         return NotTaken("it was cancelled before it was taken in")
     if isinstance(record, Unreadable):
         return Unsettled(f"the stored job can't be read: {record.reason}")
@@ -139,7 +139,7 @@
                 return tombstoned
             item = tombstoned
         record = decode_job(item.value)
-        if isinstance(record, CancelledUntaken):
+        if isinstance(record, CancelledBeforeAccept):
             return NoSuchJob()
         if isinstance(record, Unreadable):
             return Unsettled(f"the stored job can't be read: {record.reason}")
@@ -171,7 +171,7 @@
     granted = await store.grant(TOMBSTONE_S)
     if not isinstance(granted, LeaseHeld):
         return NotTaken(granted.reason)
-    put = Put(key, CancelledUntaken(tenant).encode(), granted.lease)
+    put = Put(key, CancelledBeforeAccept(tenant).encode(), granted.lease)
     pending_write.is_open = True
     outcome = await store.commit(Transaction(((key, 0),), (put,)))
     pending_write.is_open = False
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/late_starts.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/late_starts.py
@@ -61,7 +61,7 @@
         if not attempt.life.born:
             # No other instance can receive it, so there is nothing to wait for.
             return 0.0
-        self.list_open(attempt.executor)
+        self.list_unresolved(attempt.executor)
         start, known = LateStart(attempt.task, attempt.run), self._until[attempt.executor]
         before = known.get(start, 0.0)
         known[start] = attempt.sent_at + MAX_ORDER_DELAY_S
@@ -84,7 +84,7 @@
 
         Kept only for tasks with an unresolved start at this executor.
         """
-        if not any(start.task == task for start in self.list_open(life.id)):
+        if not any(start.task == task for start in self.list_unresolved(life.id)):
             return
         known_life, floors = self._refused_runs.get(life.id, (life, {}))
         if known_life != life:
@@ -96,7 +96,7 @@
         """Record that an executor refused a task just now, so that it is not retried at once."""
         self._refused_at[task] = trio.current_time()
 
-    def find_pins(
+    def find_required_executors(
         self, executors: Mapping[str, ExecutorState], uncertain: Collection[str] = ()
     ) -> dict[TaskKey, str]:
         """Return the only executor at which each task with unresolved starts may be started.
@@ -112,7 +112,7 @@
         self._refused_at = {t: at for t, at in self._refused_at.items() if at > latest}
         for name in list(self._until):
             state = executors.get(name)
-            for start in self.list_open(name):
+            for start in self.list_unresolved(name):
                 is_refused = state is not None and self._is_refused(state, start)
                 if is_refused and state is not None and _accepts_no_work(state):
                     continue
@@ -125,9 +125,9 @@
 
     def _is_refused(self, state: ExecutorState, start: LateStart) -> bool:
         """Return whether the executor's current instance refuses a start, and has no run of it."""
-        if state.dead or not state.heard or state.silent_since is not None:
+        if state.dead or not state.has_reported or state.unresponsive_since is not None:
             return False
-        if any(task == start.task for task, _ in state.strays):
+        if any(task == start.task for task, _ in state.orphans):
             return False
         if start.is_inherited:
             return True
@@ -161,7 +161,7 @@
         }
         return frozenset(found), max(found.values(), default=now) - now
 
-    def list_open(self, executor: str) -> list[LateStart]:
+    def list_unresolved(self, executor: str) -> list[LateStart]:
         """Return the unresolved starts at an executor, and forget those that have expired."""
         now = trio.current_time()
         known = {s: until for s, until in self._until.pop(executor, {}).items() if until > now}
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/orders.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/orders.py
@@ -22,7 +22,7 @@
     Unhealthy,
 )
 from .fleet import ExecutorState
-from .owned import OwnedCell
+from .owned_cell import OwnedCell
 from .plan import Start
 from .progress import Attempt, Phase, list_pending_starts, to_open_start
 
@@ -71,7 +71,7 @@
         for start in group:
             key = start.job.key_of(start.step, start.task)
             attempt = Attempt(key, run, start.executor.life, start.step.spec.need, now)
-            attempt.moved_at = now
+            attempt.progressed_at = now
             if start.step.has_suspects:
                 # Other tasks started there now would be suspected as well if it crashes.
                 start.executor.exclusive_until = now + YOUNG_S
@@ -113,7 +113,7 @@
         if not await wait_answered(executors, self.cell.executors.values()):
             self._abandon_unsent(orders, "its executor has not answered a look")
             return
-        if not await self._name_places(orders):
+        if not await self._record_placements(orders):
             self._abandon_unsent(orders, "the store does not name its executor")
             return
         for start, attempt in orders:
@@ -124,7 +124,7 @@
             if start.task.attempt is attempt:
                 self._give_up(attempt, reason)
 
-    async def _name_places(self, orders: list[tuple[Start, Attempt]]) -> bool:
+    async def _record_placements(self, orders: list[tuple[Start, Attempt]]) -> bool:
         """Record the executors of a group's tasks; return False if the store does not accept it.
 
         The next owner needs this to know which tasks may be at an executor that is unresponsive.
@@ -137,7 +137,7 @@
             return True
         self.cell.recorder.mark(job)
         until = trio.current_time() + NAMING_TIMEOUT_S
-        while trio.current_time() < until and self.cell.parts.is_naming():
+        while trio.current_time() < until and self.cell.parts.can_write_store():
             with trio.move_on_after(NAMING_POLL_S):
                 await self.cell.recorder.wait_named(job, wanted, starts)
                 return True
@@ -150,7 +150,7 @@
             return
         # All sends share one deadline, as a later one would extend the time in which they may be
         # executed.
-        until = state.deadline_ms(trio.current_time(), self.cell.parts.timing.hold_s)
+        until = state.deadline_ms(trio.current_time(), self.cell.parts.timing.executor_lease_s)
         if until is None:
             self._give_up(attempt, "its executor may not be held")
             return
@@ -176,11 +176,11 @@
             )
             attempt.sends += 1
             attempt.sent_at = now
-            attempt.is_on_its_way = True
+            attempt.is_in_flight = True
             state.wake.set()
             open_until = self.cell.late_starts.track(attempt)
             outcome = await self.cell.parts.link.start(state.executor, order)
-            attempt.is_on_its_way = False
+            attempt.is_in_flight = False
             self._log_send("start", attempt, attempt.sends, now, outcome)
             if not isinstance(outcome, Unanswered) or outcome.unsent:
                 self.cell.late_starts.settle(attempt, open_until)
@@ -192,7 +192,7 @@
             state.wake.set()
             await trio.sleep(RETRY_S)
         if attempt.phase is Phase.STARTING and start.task.attempt is attempt:
-            state.note_bad(trio.current_time())
+            state.back_off(trio.current_time())
             self._give_up(attempt, "the start was not answered")
         else:
             self._close_unsent(attempt)
@@ -203,7 +203,7 @@
             return "its executor has started again"
         if self.cell.is_evacuated(state):
             return "its domain is evacuated"
-        return "its entry names no executor to use" if state.is_set_aside else None
+        return "its entry names no executor to use" if state.has_unusable_entry else None
 
     def _close_unsent(self, attempt: Attempt) -> None:
         """Close an attempt that is to be stopped if none of its sends had, or can have, an effect.
@@ -254,7 +254,7 @@
             if attempt.phase is Phase.STARTING:
                 attempt.phase = Phase.RUNNING
                 attempt.settled_at = now
-                attempt.moved_at = now
+                attempt.progressed_at = now
             if attempt.life.born and not list_pending_starts(start.job):
                 # The next owner would otherwise restrict the tasks to the executors of these
                 # starts.
@@ -291,13 +291,13 @@
     ) -> None:
         """Update an executor's state after it refused an order."""
         if isinstance(outcome, Unhealthy):
-            state.note_bad(now)
+            state.back_off(now)
         elif isinstance(outcome, OtherLife):
             state.mark_ended()
         elif isinstance(outcome, Refused) and outcome.reason is Refusal.NOT_APPROVED:
             self.cell.approvals.drop(attempt.task._replace(member=0), state.life)
         else:
-            state.rest_until = max(state.rest_until, now + REFUSAL_BACKOFF_S)
+            state.backoff_until = max(state.backoff_until, now + REFUSAL_BACKOFF_S)
 
     async def run_stops(self) -> None:
         """Start a trio task for each requested stop, until cancelled."""
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/overview.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/overview.py
@@ -9,7 +9,7 @@
 from .domains import describe_domains, find_shortfall
 from .guarantee import find_guaranteed
 from .model import URGENT, DesiredState
-from .owned import OwnedCell
+from .owned_cell import OwnedCell
 from .progress import JobState
 from .stands import JobStand
 
@@ -56,10 +56,10 @@
                 "runs": len(state.attempts),
                 "free accelerators": state.free.accelerators,
                 "takes no work": state.find_refusal(now) or "",
-                "heard": state.heard,
+                "heard": state.has_reported,
                 "listed": state.listed,
-                "set aside": state.is_set_aside,
-                "resting": state.rest_until > now,
+                "set aside": state.has_unusable_entry,
+                "resting": state.backoff_until > now,
                 "slow": state.slow_until > now,
                 "leaves in s": leaves_in_s,
                 "evacuated": state.evacuated,
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/owned.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/owned_cell.py
@@ -11,7 +11,6 @@
 
 from .approval import Approvals, Approver, NoApprover
 from .crashes import Crashes
-from .doubts import Deadlines, is_sole_instance, list_lapsed, list_unsure
 from .entries import DirectoryFormat
 from .evacuation import Evacuations
 from .events import describe_run, log_event
@@ -36,8 +35,9 @@
 from .relay import StoreRelay
 from .stands import KnownStands
 from .statistics import Statistics
-from .task_names import Names, keep, unite
+from .task_masks import TaskMasks, keep, unite
 from .tenure import Term
+from .uncertainty import Deadlines, is_sole_instance, list_lapsed, list_uncertain
 
 JOB_PREFIX = "job/"
 STALE_OWNER_S = 1.2
@@ -65,23 +65,23 @@
 
 def _age_when_unresponsive(attempt: Attempt, state: ExecutorState | None) -> float | None:
     """Return an attempt's age (s) when its executor became unresponsive, None if it did not."""
-    if state is None or state.silent_since is None:
+    if state is None or state.unresponsive_since is None:
         return None
-    return round(state.silent_since - attempt.ordered_at, 3)
+    return round(state.unresponsive_since - attempt.ordered_at, 3)
 
 
 @dataclass(frozen=True, slots=True)
 class Timing:
     """Deployment timing settings, in seconds.
 
-    `hold_s` is the lease that an executor is asked for, `longest_hold_s` the longest one that it
-    grants, and `stop_s` the time that a stop may take. `far_factor` is the slowdown of a task away
-    from its data, or of a same-rack gang that is spread over racks. `retention_s` is how long a
-    final job is kept.
+    `executor_lease_s` is the lease that an executor is asked for, `max_executor_lease_s` the
+    longest one that it grants, and `stop_s` the time that a stop may take. `far_factor` is the
+    slowdown of a task away from its data, or of a same-rack gang that is spread over racks.
+    `retention_s` is how long a final job is kept.
     """
 
-    hold_s: float = 6.0
-    longest_hold_s: float = 10.0
+    executor_lease_s: float = 6.0
+    max_executor_lease_s: float = 10.0
     stop_s: float = 0.9
     gang_timeout_s: float = 3.0
     far_factor: float = 3.0
@@ -90,15 +90,15 @@
     @property
     def max_unreported_run_s(self) -> float:
         """How long runs of an earlier owner may continue after the next term began."""
-        return STALE_OWNER_S + self.hold_s * SLOW_FACTOR
+        return STALE_OWNER_S + self.executor_lease_s * SLOW_FACTOR
 
 
 @dataclass(frozen=True, slots=True)
 class OwnerParts:
     """The dependencies of an owner.
 
-    `relay` writes to the store by way of another host. `is_naming` returns whether either way to
-    the store accepts writes.
+    `relay` writes to the store by way of another host. `can_write_store` returns whether either way
+    to the store accepts writes.
     """
 
     store: KeyStore
@@ -113,7 +113,7 @@
     policy: Policy = DEFAULT_POLICY
     store_recovered_at: Callable[[], float] = lambda: float("inf")
     is_store_available: Callable[[], bool] = lambda: True
-    is_naming: Callable[[], bool] = lambda: True
+    can_write_store: Callable[[], bool] = lambda: True
     relay: StoreRelay | None = None
     evacuations: Evacuations = field(default_factory=Evacuations)
     stands: KnownStands = field(default_factory=KnownStands)
@@ -145,7 +145,7 @@
         """Request a new plan."""
         self.changed.set()
 
-    def note_use(self) -> None:
+    def notify_use_changed(self) -> None:
         """Request an update of the recorded executors in use."""
         self.use_changed.set()
 
@@ -155,7 +155,7 @@
         """Return whether the executor's failure domain is evacuated."""
         return state.executor.zone in self.parts.evacuations.domains
 
-    def note_evacuations(self) -> None:
+    def apply_evacuations(self) -> None:
         """Apply the evacuated failure domains to all executors."""
         for state in self.executors.values():
             state.evacuated = self.is_evacuated(state)
@@ -163,7 +163,7 @@
 
     # Jobs
 
-    def note_job(self, record: JobRecord, created: int = 0) -> None:
+    def apply_job(self, record: JobRecord, created: int = 0) -> None:
         """Add an accepted job, or apply its cancellation.
 
         `created` is the store revision at which the job was accepted, 0 if unknown.
@@ -248,7 +248,7 @@
 
     def fail_crashing_jobs_at(self, state: ExecutorState) -> None:
         """Fail the crashing jobs among those at an executor when it became unresponsive."""
-        for name in {attempt.task.job for attempt, _ in state.at_silence}:
+        for name in {attempt.task.job for attempt, _ in state.held_when_unresponsive}:
             job = self.active.get(name)
             if job is not None:
                 self._fail_if_crashing(job)
@@ -307,18 +307,18 @@
             term=self.term.number,
         )
 
-    def find_doubt(self) -> Callable[[TaskKey], bool] | None:
+    def make_may_run_check(self) -> Callable[[TaskKey], bool] | None:
         """Return a check whether a task may run, or still be started, at an unresponsive executor.
 
         None if there is no such executor. Jobs accepted in this term are never affected. For the
         others the store lists the executors of each task.
         """
-        silent, uncertain = self.silent(), self.list_unsure()
+        silent, uncertain = self.silent(), self.list_uncertain()
         if not silent and not uncertain:
             return None
-        may_hold_any = any(not s.is_named and s.only_tasks is None for s in silent)
+        may_hold_any = any(not s.is_listed_by_jobs and s.only_tasks is None for s in silent)
         held = frozenset().union(*(state.only_tasks or () for state in silent))
-        named = {state.id for state in silent if state.is_named}
+        named = {state.id for state in silent if state.is_listed_by_jobs}
         uncertain_tasks: dict[str, int] = {}
 
         def may_run(task: TaskKey) -> bool:
@@ -333,14 +333,17 @@
 
         return may_run
 
-    def list_unsure(self) -> frozenset[str]:
+    def list_uncertain(self) -> frozenset[str]:
         """Return the executors that may have a new instance unaware of this owner's token."""
-        return list_unsure(self.executors.values(), self._find_deadlines())
+        return list_uncertain(self.executors.values(), self._find_deadlines())
 
     def _find_deadlines(self) -> Deadlines:
-        hold_s = self.parts.timing.hold_s
+        executor_lease_s = self.parts.timing.executor_lease_s
         return Deadlines(
-            trio.current_time(), hold_s, self.late_orders_until, self.unreported_runs_until
+            trio.current_time(),
+            executor_lease_s,
+            self.late_orders_until,
+            self.unreported_runs_until,
         )
 
     def may_receive_late_start(self, state: ExecutorState) -> bool:
@@ -350,14 +353,14 @@
         """
         if trio.current_time() >= self.late_orders_until or is_sole_instance(state):
             return False
-        starts = self.late_starts.list_open(state.id)
+        starts = self.late_starts.list_unresolved(state.id)
         if any(start.is_inherited and start.task.job in self.active for start in starts):
             return True
         return any(state.id in job.places.earlier for job in self.active.values())
 
     def _update_places(self, jobs: Collection[JobState]) -> None:
         """Update the placements that are to be recorded for the next owner of some jobs."""
-        silent = self.list_silent_ids()
+        silent = self.list_unreported_ids()
         may_share_ids = any(state.life.born for state in self.executors.values())
         for job in jobs:
             job.places.drop_resolved(silent)
@@ -368,7 +371,7 @@
                 job.places.starts = late | under_way
                 job.places.starts_left_s = None if under_way else round_remaining_s(left_s)
 
-    def _find_late(self, job: JobState, starts: Collection[OpenStart]) -> Names:
+    def _find_late(self, job: JobState, starts: Collection[OpenStart]) -> TaskMasks:
         """Return where starts of a job may still be carried out late, or orphaned runs of it exist.
 
         Entries of earlier owners are dropped where their orders can have no effect any more.
@@ -379,24 +382,24 @@
         elif places.earlier:
             lapsed = list_lapsed(list(places.earlier), self.executors, deadlines)
             places.earlier = keep(places.earlier, places.earlier.keys() - lapsed)
-        strays = (stray for s in self.executors.values() for stray in s.strays.values())
+        orphans = (orphan for s in self.executors.values() for orphan in s.orphans.values())
         return unite(
             places.earlier,
             *({start.executor: job.mask_of(start)} for start in starts),
-            job.locate_attempts(stray for stray in strays if stray.task.job == job.spec.id),
+            job.locate_attempts(orphan for orphan in orphans if orphan.task.job == job.spec.id),
         )
 
-    def list_silent_ids(self) -> set[str]:
+    def list_unreported_ids(self) -> set[str]:
         """Return the ids of inherited executors that have not reported yet."""
         return {state.id for state in self.silent()}
 
-    def find_withheld(self) -> Callable[[TaskKey], bool] | None:
+    def make_withheld_check(self) -> Callable[[TaskKey], bool] | None:
         """Return a check for the tasks that must not be started now; None if there are none.
 
         These are tasks that may already run, and, while the store is unavailable, tasks under which
         executors have crashed, as another crash could not be recorded.
         """
-        may_run = self.find_doubt()
+        may_run = self.make_may_run_check()
         if self.parts.is_store_available():
             return may_run
 
@@ -407,9 +410,9 @@
 
         return is_withheld
 
-    def find_pins(self) -> dict[TaskKey, str]:
+    def find_required_executors(self) -> dict[TaskKey, str]:
         """Return the only executor allowed for each task that has unresolved starts."""
-        return self.late_starts.find_pins(self.executors, self.list_unsure())
+        return self.late_starts.find_required_executors(self.executors, self.list_uncertain())
 
     def silent(self) -> list[ExecutorState]:
         """Return the inherited executors that have not reported and may still run something."""
@@ -417,7 +420,10 @@
         return [
             state
             for state in self.executors.values()
-            if state.is_inherited and not state.heard and not state.dead and now < state.lapse_by
+            if state.is_inherited
+            and not state.has_reported
+            and not state.dead
+            and now < state.lease_ends_by
         ]
 
     # Attempts
@@ -476,13 +482,13 @@
         It would otherwise run beside the task's own attempt, or after its job's end, for as long as
         the executor's lease is renewed.
         """
-        if (task, run) in state.strays:
+        if (task, run) in state.orphans:
             return
         job = self.jobs.get(task.job)
         known = job is not None and job.task(task) is not None
         need = job.step_of(task).spec.need if job is not None and known else NOTHING
         attempt = Attempt(task, run, state.life, need, trio.current_time(), Phase.RUNNING)
-        state.occupy_astray(attempt)
+        state.occupy_orphan(attempt)
         log_event("run.stale" if known else "run.unknown", **describe_run(task, run, state.life))
         self.request_stop(attempt, "not its task's attempt")
 
@@ -492,7 +498,7 @@
         A new instance does not know which starts the previous one was told to stop.
         """
         held = {(attempt.task, attempt.run) for attempt in state.list_held()}
-        for start in self.late_starts.list_open(state.id):
+        for start in self.late_starts.list_unresolved(state.id):
             if not start.is_inherited and (start.task, start.run) not in held:
                 self.stop_orphan(state, start.task, start.run)
 
@@ -519,13 +525,13 @@
 
     # Ends
 
-    def note_end(self, state: ExecutorState, end: EndedRun) -> None:
+    def process_end(self, state: ExecutorState, end: EndedRun) -> None:
         """Process an ended run that an executor reports."""
         job = self.jobs.get(end.task.job)
         task = self.find_task(end.task)
-        stray = state.strays.get((end.task, end.run))
-        if stray is not None:
-            self.close(stray, end.kind.value)
+        orphan = state.orphans.get((end.task, end.run))
+        if orphan is not None:
+            self.close(orphan, end.kind.value)
         if job is None or task is None:
             run = describe_run(end.task, end.run, state.life)
             log_event("end.unknown", **run, why=end.kind.value)
@@ -538,7 +544,7 @@
             if not attempt.seen and attempt.has_single_unresolved_send:
                 self.late_starts.settle(attempt)
             self.close(attempt, end.kind.value)
-        elif stray is None:
+        elif orphan is None:
             self._log_unowned_end(state, end)
         self.update_checkpoint(task, end.run, end.checkpoint)
         if end.kind is EndKind.DONE:
@@ -578,7 +584,7 @@
         if len(state.failed_jobs) >= BLAME_EXECUTOR_AFTER_JOBS:
             return True
         pool = [s for s in self.executors.values() if s.executor.pool == state.executor.pool]
-        resting = sum(s is not state and now < s.rest_until for s in pool)
+        resting = sum(s is not state and now < s.backoff_until for s in pool)
         return resting < max(len(pool) // BACKED_OFF_DIVISOR, min(1, len(pool) - 1))
 
     def _note_failed(
@@ -590,7 +596,7 @@
         if len(state.failed_jobs) < BLAME_EXECUTOR_AFTER_JOBS:
             state.failed_jobs.add(end.task.job)
         if state.failed_streak >= BACKOFF_AFTER_FAILURES:
-            state.note_bad(
+            state.back_off(
                 now, MAX_BACKOFF_S if self._is_at_fault(state, now) else POOL_WIDE_BACKOFF_S
             )
         step = job.step_of(end.task)
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/owner.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/owner.py
@@ -12,13 +12,15 @@
 from .directory import Directory
 from .domains import tell_of_limits
 from .events import describe_life, log_event
+from .executor_watch import ExecutorWatch
+from .executors_in_use import USED_KEY, UsedExecutors
 from .fleet import ExecutorState
 from .follow import Follower
 from .housekeeping import Housekeeping
 from .keystore import Gone, Item, Listing
 from .model import JobSpec
 from .orders import Orders
-from .owned import JOB_PREFIX, OwnedCell, OwnerParts
+from .owned_cell import JOB_PREFIX, OwnedCell, OwnerParts
 from .peaks import RecentPeaks
 from .plan import Plan
 from .planner import Planner
@@ -36,9 +38,7 @@
 from .spares import Spares
 from .stands import JobStand
 from .tenure import Term
-from .used import USED_KEY, UsedExecutors
 from .waiting import WaitWatch, describe_silences
-from .watching import ExecutorWatch
 
 PAUSE_S = 0.15
 COALESCE_S = 0.012
@@ -51,7 +51,7 @@
 URGENT_WINDOW_S = 12.0
 LATE_STARTS_WRITE_INTERVAL_S = 1.5
 NAMES_WRITE_INTERVAL_S = 0.5
-ENTRY_BACK_S = 2.0 + 0.5
+ENTRY_RETURN_TIMEOUT_S = 2.0 + 0.5
 """The documented time in which an executor rewrites its entry, plus the notification delay."""
 DIRECTORY_GATHER_S = 0.25
 """How long directory updates are batched; shorter than the minimum drain time of 2 s."""
@@ -176,8 +176,8 @@
         jobs.begin(found[jobs.prefix])
         directory.begin(found[directory.prefix])
         self._load_progress(found[PROGRESS_PREFIX])
-        self.cell.note_evacuations()
-        self.cell.note_use()
+        self.cell.apply_evacuations()
+        self.cell.notify_use_changed()
 
     def _describe_unlisted(self) -> list[dict[str, Any]]:
         """Describe inherited executors that have no entry now."""
@@ -224,7 +224,7 @@
         waited_for = [state.id for state in self.cell.silent()]
         while self.cell.silent():
             await trio.sleep(0.02)
-            self._drop_gone(started)
+            self._drop_missing_executors(started)
             self.cell.wake_planner()
             self._log_barrier_wait(trio.current_time() - started)
             self._drop_reported_names()
@@ -264,7 +264,7 @@
         if now - self._names_written_at < NAMES_WRITE_INTERVAL_S:
             return
         self._names_written_at = now
-        silent = self.cell.list_silent_ids()
+        silent = self.cell.list_unreported_ids()
         self._mark(lambda job: not job.has_attempts and job.places.names_others(silent))
 
     def _drop_inherited_names(self) -> None:
@@ -290,7 +290,7 @@
             if is_meant(job):
                 self.cell.recorder.mark(job)
 
-    def _drop_gone(self, started: float) -> None:
+    def _drop_missing_executors(self, started: float) -> None:
         """Drop inherited executors whose entries did not return with the store.
 
         An entry that expired during a store outage is rewritten within 2 s of its end, so an
@@ -298,12 +298,14 @@
         partitioned executor keeps running until its lease expires.
         """
         since = max(started, self.parts.store_recovered_at())
-        if trio.current_time() < since + ENTRY_BACK_S:
+        if trio.current_time() < since + ENTRY_RETURN_TIMEOUT_S:
             return
         for state in self.cell.silent():
             if not state.was_listed:
                 log_event(
-                    "executor.gone", **describe_life(state.life), entry_missing_s=ENTRY_BACK_S
+                    "executor.gone",
+                    **describe_life(state.life),
+                    entry_missing_s=ENTRY_RETURN_TIMEOUT_S,
                 )
                 state.mark_ended()
 
@@ -316,14 +318,14 @@
 
     async def _watch_until_gone(self, state: ExecutorState) -> None:
         await ExecutorWatch(self.cell, state, self.depose).run()
-        self.cell.note_use()
+        self.cell.notify_use_changed()
 
     async def _follow_evacuations(self) -> None:
         """Apply each change of the evacuated domains, and log unknown ones and lost guarantees."""
         evacuations = self.parts.evacuations
         while True:
             changed = evacuations.changed
-            self.cell.note_evacuations()
+            self.cell.apply_evacuations()
             tell_of_limits(self.cell)
             await changed.wait()
 
@@ -340,12 +342,12 @@
         if isinstance(record, Unreadable):
             log_event("record.unreadable", key=event.key, reason=record.reason)
         elif isinstance(record, JobRecord) and record.spec.id not in self._set_aside:
-            self.cell.note_job(record, event.created)
+            self.cell.apply_job(record, event.created)
 
-    def note_job(self, record: JobRecord) -> None:
+    def apply_job(self, record: JobRecord) -> None:
         """Apply a job or a cancellation that a peer reports."""
         if self.is_ready and record.spec.id not in self._set_aside:
-            self.cell.note_job(record)
+            self.cell.apply_job(record)
 
     def view(self, job_id: str) -> JobView | None:
         """Return the public view of a job; None if this owner doesn't know it."""
@@ -407,12 +409,12 @@
             now,
             self.parts.wall_clock(),
             self._urgent_demand.peaks(now),
-            self.cell.find_withheld(),
+            self.cell.make_withheld_check(),
             self.cell.approvals,
             self.parts.policy,
             self.parts.timing.stop_s,
-            self.parts.is_naming(),
-            self.cell.find_pins(),
+            self.parts.can_write_store(),
+            self.cell.find_required_executors(),
         )
         planner.explain = self.waits.list_unexplained()
         recheck = PLAN_EVERY_S
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/places.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/placements.py
@@ -11,11 +11,11 @@
 from dataclasses import dataclass, field
 
 from .model import OpenStart
-from .task_names import ANY, Names, find_mask, includes, intersect, keep, subtract, unite
+from .task_masks import ANY, TaskMasks, find_mask, includes, intersect, keep, subtract, unite
 
 
 @dataclass(slots=True)
-class JobPlaces:
+class JobPlacements:
     """The executors at which runs of one job may be, started by this owner or by earlier ones.
 
     - `spare`: executors recorded in advance for waiting tasks.
@@ -37,20 +37,20 @@
     """
 
     spare: frozenset[str] = frozenset()
-    left: Names = field(default_factory=dict)
-    earlier: Names = field(default_factory=dict)
-    late: Names = field(default_factory=dict)
-    inherited: Names | None = field(default_factory=dict)
-    named: Names | None = None
-    in_flight: Names | None = None
+    left: TaskMasks = field(default_factory=dict)
+    earlier: TaskMasks = field(default_factory=dict)
+    late: TaskMasks = field(default_factory=dict)
+    inherited: TaskMasks | None = field(default_factory=dict)
+    named: TaskMasks | None = None
+    in_flight: TaskMasks | None = None
     lists_starts: bool = False
     starts: frozenset[OpenStart] | None = None
     starts_left_s: float | None = None
     has_time_limit: bool = False
     recorded_starts: frozenset[OpenStart] = frozenset()
-    _left_in_flight: Names = field(default_factory=dict)
+    _left_in_flight: TaskMasks = field(default_factory=dict)
 
-    def covers(self, wanted: Names) -> bool:
+    def covers(self, wanted: TaskMasks) -> bool:
         """Return whether the store lists the executors for the tasks, even if a write fails."""
         return self.named is not None and includes(self.list_covered(), wanted)
 
@@ -64,12 +64,12 @@
             return True
         return not self.has_time_limit and self.recorded_starts.issuperset(starts)
 
-    def list_covered(self) -> Names:
+    def list_covered(self) -> TaskMasks:
         """Return what the store lists for certain, whether a write in flight is applied or not."""
         named = self.named or {}
         return named if self.in_flight is None else intersect(named, self.in_flight)
 
-    def begin_write(self, names: Names | None) -> None:
+    def begin_write(self, names: TaskMasks | None) -> None:
         """Record that a write is sent; an earlier one without an answer may still be applied."""
         self.has_time_limit |= self.starts_left_s is not None
         names = names or {}
@@ -79,7 +79,7 @@
 
     def end_write(
         self,
-        names: Names | None,
+        names: TaskMasks | None,
         starts: frozenset[OpenStart] | None = None,
         starts_left_s: float | None = None,
     ) -> None:
@@ -89,7 +89,7 @@
         self.recorded_starts = starts or frozenset()
         self.left = subtract(self.left, self._left_in_flight)
 
-    def restore(self, named: Names | None, starts: frozenset[OpenStart] | None = None) -> None:
+    def restore(self, named: TaskMasks | None, starts: frozenset[OpenStart] | None = None) -> None:
         """Restore what the store lists."""
         self.starts = starts
         self.lists_starts = starts is not None
@@ -124,7 +124,7 @@
         """Record that a run of some tasks has ended at an executor."""
         self.left = unite(self.left, {executor: mask})
 
-    def list_for_store(self, now_at: Mapping[str, int]) -> Names | None:
+    def list_to_record(self, now_at: Mapping[str, int]) -> TaskMasks | None:
         """Return what to record, in addition to the executors of current attempts."""
         if self.inherited is None:
             return None
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/planner.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/planner.py
@@ -24,7 +24,7 @@
 from .progress import Attempt, JobState, Phase, StepState, TaskState
 from .room import Offer, Scope, count_free, count_with_reserved, make_offers
 from .sharing import Colocation
-from .task_names import find_executors
+from .task_masks import find_executors
 from .victims import ENDS_SOON_S, VictimSelector
 
 REMOTE_WAIT_S = 1.2
@@ -38,9 +38,9 @@
 class Planner:
     """Makes one scheduling plan for all pools, in one call or in several.
 
-    `may_run` returns whether a run of a task by an earlier owner may still exist; None if there
-    can be no such run. `is_naming` is true if the store can record executors for jobs; otherwise a
-    job starts only on executors already recorded for it. `pins` maps a task to the only executor
+    `may_run` returns whether a run of a task by an earlier owner may still exist; None if there can
+    be no such run. `can_write_store` is true if the store can record executors for jobs; otherwise
+    a job starts only on executors already recorded for it. `pins` maps a task to the only executor
     that may run it. `explain` lists steps by the keys of their first tasks; `causes` receives the
     reason why each of them waits, once the plan has reached it.
     """
@@ -57,14 +57,14 @@
         approvals: Approvals | None = None,
         policy: Policy = DEFAULT_POLICY,
         stop_s: float = DEFAULT_STOP_S,
-        is_naming: bool = True,
+        can_write_store: bool = True,
         pins: Mapping[TaskKey, str] | None = None,
     ) -> None:
         self.policy = policy
         self.jobs = list(jobs)
         self.desired = desired
         self._may_run = may_run
-        self._is_naming = is_naming
+        self._can_write_store = can_write_store
         self._pins = pins or {}
         self.explain: Collection[TaskKey] = ()
         self.causes: dict[TaskKey, WaitCause] = {}
@@ -144,14 +144,14 @@
                 continue
             queue = self.desired.current_queue(job.spec)
             for step in job.steps:
-                if step.is_done or (step.ready_at is not None and not step.open_count):
+                if step.is_done or (step.ready_at is not None and not step.waiting_count):
                     continue
                 if not job.is_ready(step, self.wall_now):
                     self._replan_when_due(step)
                     continue
                 if step.ready_at is None:
                     step.ready_at = self.now
-                if not step.open_count or (step.spec.gang and step.held_count):
+                if not step.waiting_count or (step.spec.gang and step.attempt_count):
                     continue
                 tasks = self._exclude_possibly_running(job, step, step.open_tasks())
                 if step.has_suspects:
@@ -180,7 +180,7 @@
         self, job: JobState, step: StepState, tasks: list[TaskState]
     ) -> Iterable[tuple[frozenset[str] | None, list[TaskState]]]:
         """Yield groups of tasks with the only executors they may use, None for any executor."""
-        if self._is_naming:
+        if self._can_write_store:
             return [(None, tasks)]
         covered = job.places.list_covered()
         parts: dict[frozenset[str], list[TaskState]] = {}
@@ -676,6 +676,6 @@
     """Return, by step, how many runs other than current attempts each executor holds."""
     counts: dict[tuple[str, int, int], Counter[str]] = {}
     for offer in offers:
-        for task, _ in offer.state.strays:
+        for task, _ in offer.state.orphans:
             counts.setdefault(_step_key(task), Counter())[offer.state.id] += 1
     return counts
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/progress.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/progress.py
@@ -7,16 +7,16 @@
 from enum import Enum
 
 from .model import JobSpec, Life, OpenStart, Queue, Resources, StepSpec, TaskKey
-from .places import JobPlaces
+from .placements import JobPlacements
 from .record import Blame, JobStatus, ProgressRecord, StepProgress
-from .task_names import ANY, Names, distribute, unite
+from .task_masks import ANY, TaskMasks, distribute, unite
 
 UNSETTLED = float("inf")
 LATE_FACTOR = 3.0
 MAX_BLAMED_CRASHES = 2
 """A task is given up once it alone can have crashed so many executors, as documented for callers.
 """
-MOST_CRASHES = 4
+MAX_CRASHES = 4
 """A task is given up after so many crashes, whoever is to blame: one below the documented limit."""
 MAX_NAMED_AHEAD = 256
 """Tasks of a job with executors recorded in advance: more than start in a store outage."""
@@ -37,8 +37,8 @@
     Times are on trio's clock. `settled_at` is when an answer to a start or stop proved that any
     report requested later is conclusive about this run. `sends` counts the start orders sent,
     `unanswered` those without an answer, which may still be carried out late, and `refused_sends`
-    those without effect. `sent_at` is the time of the last send, and `is_on_its_way` is set while
-    it is in flight. `seen` is set once a report has listed the run. `moved_at` is when `percent`
+    those without effect. `sent_at` is the time of the last send, and `is_in_flight` is set while it
+    is in flight. `seen` is set once a report has listed the run. `progressed_at` is when `percent`
     last rose. `rate` is the last measured speed (percent/s) and `best_rate` the highest one;
     `ratio` is the measured over the estimated duration. `is_long` marks an attempt that is slow
     because of its task, as its executor runs others at normal speed.
@@ -55,10 +55,10 @@
     unanswered: int = 0
     refused_sends: int = 0
     sent_at: float = 0.0
-    is_on_its_way: bool = False
+    is_in_flight: bool = False
     seen: bool = False
     percent: float = 0.0
-    moved_at: float = 0.0
+    progressed_at: float = 0.0
     began_at: float | None = None
     began_percent: float = 0.0
     stop_reason: str = ""
@@ -77,13 +77,13 @@
     @property
     def has_begun(self) -> bool:
         """Whether a report has listed the run, or a start was acknowledged."""
-        open_sends = self.unanswered + self.refused_sends + self.is_on_its_way
+        open_sends = self.unanswered + self.refused_sends + self.is_in_flight
         return self.seen or self.sends > open_sends
 
     @property
     def has_single_unresolved_send(self) -> bool:
         """Whether exactly one send may have started the run."""
-        open_sends = self.unanswered + self.is_on_its_way
+        open_sends = self.unanswered + self.is_in_flight
         return open_sends == 1 and self.sends <= open_sends + self.refused_sends
 
 
@@ -129,7 +129,7 @@
         until = self.avoid.get(executor)
         return until is not None and until > now
 
-    def note_crash(self, life: Life, blame: Blame | None) -> None:
+    def set_blame(self, life: Life, blame: Blame | None) -> None:
         """Set the blame for the crash of an executor instance; None removes it."""
         if blame is None:
             self.crashes.pop(life, None)
@@ -142,7 +142,7 @@
     def is_given_up(self) -> bool:
         """Whether so many executors have crashed under the task that it is not started again."""
         blames = [blame for blame in self.crashes.values() if blame is not Blame.ON_TRIAL]
-        return blames.count(Blame.BLAMED) >= MAX_BLAMED_CRASHES or len(blames) >= MOST_CRASHES
+        return blames.count(Blame.BLAMED) >= MAX_BLAMED_CRASHES or len(blames) >= MAX_CRASHES
 
     def join(self, step: StepState) -> None:
         """Attach the task to its step."""
@@ -158,7 +158,7 @@
         if done != self._done and self._step is not None:
             self._step.done_count += 1 if done else -1
             if self._attempt is None:
-                self._step.open_count -= 1 if done else -1
+                self._step.waiting_count -= 1 if done else -1
         self._done = done
 
     @property
@@ -170,9 +170,9 @@
     def attempt(self, attempt: Attempt | None) -> None:
         change = (attempt is not None) - (self._attempt is not None)
         if change and self._step is not None:
-            self._step.held_count += change
+            self._step.attempt_count += change
             if not self._done:
-                self._step.open_count -= change
+                self._step.waiting_count -= change
         self._attempt = attempt
 
     @property
@@ -188,8 +188,8 @@
     `ready_at` is when the step became startable (trio's clock), `due_at` the earliest start of its
     occurrence (Unix time in s), None for at once. `ratios` holds the last ratio of measured to
     estimated duration of each task. `first` is the number of its first task within the job.
-    `done_count`, `held_count` and `open_count` are the numbers of tasks that are done, have an
-    attempt, and wait for one.
+    `done_count`, `attempt_count` and `waiting_count` are the numbers of tasks that are done, have
+    an attempt, and wait for one.
     """
 
     spec: StepSpec
@@ -205,13 +205,13 @@
     has_suspects: bool = False
     partial_since: float | None = None
     done_count: int = 0
-    held_count: int = 0
-    open_count: int = 0
+    attempt_count: int = 0
+    waiting_count: int = 0
 
     def __post_init__(self) -> None:
         for task in self.tasks:
             task.join(self)
-        self.open_count = len(self.tasks)
+        self.waiting_count = len(self.tasks)
 
     @property
     def is_done(self) -> bool:
@@ -246,13 +246,13 @@
 
     def attempts(self) -> list[Attempt]:
         """Return the current attempts, in task order."""
-        if not self.held_count:
+        if not self.attempt_count:
             return []
         return [task.attempt for task in self.tasks if task.attempt is not None]
 
     def open_tasks(self) -> list[TaskState]:
         """Return the tasks that wait to be started; the caller must not modify the list."""
-        if self.open_count == len(self.tasks):
+        if self.waiting_count == len(self.tasks):
             return self.tasks
         return [task for task in self.tasks if task.is_open]
 
@@ -281,7 +281,7 @@
     chain_s: float = 0.0
     crash_notes: int = 0
     crash_notes_recorded: int = 0
-    places: JobPlaces = field(default_factory=JobPlaces)
+    places: JobPlacements = field(default_factory=JobPlacements)
 
     @property
     def is_done(self) -> bool:
@@ -339,11 +339,11 @@
         key = TaskKey(self.spec.id, task.step, task.member, task.occurrence)
         return self.step_of(key).mask_of(key.member) if self.task(key) is not None else 0
 
-    def locate_attempts(self, attempts: Iterable[Attempt]) -> Names:
+    def locate_attempts(self, attempts: Iterable[Attempt]) -> TaskMasks:
         """Return the executors of some attempts with the masks of their tasks."""
         return unite(*({a.executor: self.mask_of(a.task)} for a in attempts))
 
-    def _preassign_waiting(self, own: Collection[str]) -> Names:
+    def _preassign_waiting(self, own: Collection[str]) -> TaskMasks:
         """Return executors for the tasks that wait now, or may wait during a store outage.
 
         Waiting tasks are distributed over the spare executors, so that one unresponsive executor
@@ -354,9 +354,9 @@
         waiting: list[int] = []
         later, count = 0, 0
         for step in self.steps:
-            if not step.open_count or count >= MAX_NAMED_AHEAD or not self._has_become_due(step):
+            if not step.waiting_count or count >= MAX_NAMED_AHEAD or not self._has_become_due(step):
                 continue
-            count += step.open_count
+            count += step.waiting_count
             is_next = self._is_unblocked(step)
             if step.spec.after and not (is_next and step.is_begun):
                 later |= step.mask
@@ -391,12 +391,12 @@
     @property
     def has_attempts(self) -> bool:
         """Whether the job has any current attempt."""
-        return any(step.held_count for step in self.steps)
+        return any(step.attempt_count for step in self.steps)
 
     @property
     def accelerators_held(self) -> int:
         """The number of accelerators that its attempts occupy."""
-        return sum(step.held_count * step.spec.need.accelerators for step in self.steps)
+        return sum(step.attempt_count * step.spec.need.accelerators for step in self.steps)
 
     def is_ready(self, step: StepState, wall_now: float) -> bool:
         """Return whether a step is due and all steps that it depends on are done."""
@@ -421,7 +421,7 @@
         ]
         now_at, places = self.locate_attempts(self.attempts()), self.places
         ahead = self._preassign_waiting({*now_at, *places.left})
-        named = places.list_for_store(unite(now_at, ahead))
+        named = places.list_to_record(unite(now_at, ahead))
         return ProgressRecord(self.status, steps, named, places.starts, places.starts_left_s)
 
     def fits(self, record: ProgressRecord) -> bool:
@@ -448,7 +448,7 @@
                 task.checkpoint = saved.checkpoints.get(task.index, "")
                 for life, blame in saved.crashes.get(task.index, {}).items():
                     is_open = blame is Blame.ON_TRIAL
-                    task.note_crash(life, Blame.SUSPECTED if is_open else blame)
+                    task.set_blame(life, Blame.SUSPECTED if is_open else blame)
 
 
 def list_pending_starts(job: JobState) -> frozenset[OpenStart]:
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/record.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/record.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from .model import ApprovalTerms, JobSpec, Life, OpenStart, Queue, Resources, Schedule, StepSpec
-from .task_names import Names, decode_masks, encode_masks
+from .task_masks import TaskMasks, decode_masks, encode_masks
 
 MALFORMED = (
     KeyError,
@@ -94,7 +94,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CancelledUntaken:
+class CancelledBeforeAccept:
     """Marks a job that was cancelled before it was accepted, so that it is never accepted."""
 
     tenant: str
@@ -104,12 +104,12 @@
         return json.dumps({"cancelled_untaken": self.tenant}).encode()
 
 
-def decode_job(data: bytes) -> JobRecord | CancelledUntaken | Unreadable:
+def decode_job(data: bytes) -> JobRecord | CancelledBeforeAccept | Unreadable:
     """Decode the value of a job's key."""
     try:
         value = json.loads(data)
         if "cancelled_untaken" in value:
-            return CancelledUntaken(str(value["cancelled_untaken"]))
+            return CancelledBeforeAccept(str(value["cancelled_untaken"]))
         return JobRecord.read(value)
     except MALFORMED as error:
         return Unreadable(repr(error))
@@ -244,7 +244,7 @@
 
     status: JobStatus
     steps: list[StepProgress]
-    places: Names | None = None
+    places: TaskMasks | None = None
     starts: frozenset[OpenStart] | None = None
     starts_left_s: float | None = None
 
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/recorder.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/recorder.py
@@ -17,7 +17,7 @@
 from .model import OpenStart
 from .progress import JobState
 from .relay import StoreRelay
-from .task_names import Names
+from .task_masks import TaskMasks
 
 PROGRESS_PREFIX = "progress/"
 JOBS_PER_TRANSACTION = 15
@@ -82,7 +82,7 @@
             await self._written.wait()
 
     async def wait_named(
-        self, job: JobState, wanted: Names, starts: Collection[OpenStart] = ()
+        self, job: JobState, wanted: TaskMasks, starts: Collection[OpenStart] = ()
     ) -> None:
         """Wait until the store has the executors of a job's tasks, and the given starts.
 
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/requests.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/requests.py
@@ -27,7 +27,7 @@
 )
 from .keystore import Item, Missing
 from .news import NewsExchange
-from .owned import job_key
+from .owned_cell import job_key
 from .owner import JobView
 from .peer import PeerUnreachable
 from .peering import (
@@ -40,7 +40,7 @@
     encode_record,
 )
 from .record import (
-    CancelledUntaken,
+    CancelledBeforeAccept,
     JobRecord,
     JobStatus,
     Unreadable,
@@ -190,7 +190,7 @@
         if self._host.owner is not None:
             # Without a valid lease another owner may have taken over.
             if self._host.tenure.is_valid:
-                self._host.owner.note_job(record)
+                self._host.owner.apply_job(record)
         elif self._host.known_owner is not None:
             body = encode_record(record)
             address = self._host.known_owner.address
@@ -248,7 +248,7 @@
         if isinstance(item, Missing):
             return NoSuchJob()
         record = decode_job(item.value)
-        if isinstance(record, CancelledUntaken):
+        if isinstance(record, CancelledBeforeAccept):
             return NoSuchJob()
         if isinstance(record, Unreadable):
             return Unavailable(f"the job can't be read: {record.reason}")
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/retention.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/retention.py
@@ -6,7 +6,7 @@
 
 from .events import log_event
 from .keystore import Committed, Transaction
-from .owned import OwnedCell, job_key
+from .owned_cell import OwnedCell, job_key
 from .progress import JobState
 from .recorder import progress_key
 
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/spares.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/spares.py
@@ -14,7 +14,7 @@
 
 from .fleet import ExecutorState, WorkRefusal
 from .model import Resources
-from .owned import OwnedCell
+from .owned_cell import OwnedCell
 from .progress import JobState, StepState
 from .room import count_fits
 
@@ -46,7 +46,7 @@
         """Scan for waiting jobs periodically, until cancelled."""
         while True:
             await trio.sleep(SCAN_INTERVAL_S)
-            if self.cell.parts.is_naming():
+            if self.cell.parts.can_write_store():
                 self.choose(trio.current_time())
 
     def choose(self, now: float) -> None:
@@ -137,7 +137,7 @@
     waiting = (
         step
         for step in job.steps
-        if step.ready_at is not None and step.open_count and now - step.ready_at >= MIN_WAIT_S
+        if step.ready_at is not None and step.waiting_count and now - step.ready_at >= MIN_WAIT_S
     )
     return next(waiting, None)
 
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/confirming.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/stop_confirmation.py
@@ -11,7 +11,7 @@
 
 from .executor_link import HoldOrder, HoldOutcome, Report, Unanswered
 from .fleet import ExecutorState
-from .owned import OwnedCell
+from .owned_cell import OwnedCell
 from .progress import UNSETTLED, Attempt, Phase
 
 REPROBE_AFTER_S = 0.4
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/task_names.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/task_masks.py
@@ -14,15 +14,15 @@
 MAX_SHARES = 4
 """Parts into which waiting tasks are divided, one of which an unresponsive executor withholds."""
 
-Names = Mapping[str, int]
+TaskMasks = Mapping[str, int]
 
 
-def name_all(executors: Iterable[str]) -> dict[str, int]:
+def map_to_any_task(executors: Iterable[str]) -> dict[str, int]:
     """Return a mapping by which any task may be at each executor."""
     return dict.fromkeys(executors, ANY)
 
 
-def unite(*parts: Names) -> dict[str, int]:
+def unite(*parts: TaskMasks) -> dict[str, int]:
     """Return the union of some mappings."""
     found: dict[str, int] = {}
     for part in parts:
@@ -31,29 +31,29 @@
     return found
 
 
-def intersect(one: Names, other: Names) -> dict[str, int]:
+def intersect(one: TaskMasks, other: TaskMasks) -> dict[str, int]:
     """Return the intersection of two mappings."""
     both = ((executor, mask & other.get(executor, 0)) for executor, mask in one.items())
     return {executor: mask for executor, mask in both if mask}
 
 
-def subtract(one: Names, other: Names) -> dict[str, int]:
+def subtract(one: TaskMasks, other: TaskMasks) -> dict[str, int]:
     """Return the first mapping without the tasks of the second one."""
     rest = ((executor, mask & ~other.get(executor, 0)) for executor, mask in one.items())
     return {executor: mask for executor, mask in rest if mask}
 
 
-def includes(names: Names, wanted: Names) -> bool:
+def includes(names: TaskMasks, wanted: TaskMasks) -> bool:
     """Return whether a mapping contains all of another one."""
     return all(not mask & ~names.get(executor, 0) for executor, mask in wanted.items())
 
 
-def keep(names: Names, executors: Collection[str]) -> dict[str, int]:
+def keep(names: TaskMasks, executors: Collection[str]) -> dict[str, int]:
     """Return the part of a mapping for some executors."""
     return {executor: mask for executor, mask in names.items() if executor in executors}
 
 
-def find_mask(names: Names, executors: Collection[str]) -> int:
+def find_mask(names: TaskMasks, executors: Collection[str]) -> int:
     """Return the tasks that may be at any of some executors."""
     found = 0
     for executor in executors:
@@ -61,7 +61,7 @@
     return found
 
 
-def find_executors(names: Names, mask: int) -> frozenset[str]:
+def find_executors(names: TaskMasks, mask: int) -> frozenset[str]:
     """Return the executors that are listed for all tasks of a mask."""
     return frozenset(executor for executor, tasks in names.items() if not mask & ~tasks)
 
@@ -81,7 +81,7 @@
     return {name: parts[rank % count] for rank, name in enumerate(sorted(executors))}
 
 
-def encode_masks(names: Names) -> dict[str, tuple[int, str]]:
+def encode_masks(names: TaskMasks) -> dict[str, tuple[int, str]]:
     """Return the stored form of the masks: the lowest task number, and the bits above it in hex."""
     return {
         executor: _encode_mask(mask)
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/waiting.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/waiting.py
@@ -14,7 +14,7 @@
 from .events import log_event
 from .fleet import ExecutorState
 from .model import TaskKey
-from .owned import OwnedCell
+from .owned_cell import OwnedCell
 from .progress import Attempt, JobState, Phase, StepState
 from .room import count_fits
 from .stands import REPORT_INTERVAL_S, JobStand
@@ -119,7 +119,7 @@
             if now - since >= STALL_THRESHOLD_S - CHECK_INTERVAL_S
         ]
         capacity = _CapacityCounter(self.cell, now)
-        withheld, pins = self.cell.find_withheld(), self.cell.find_pins()
+        withheld, pins = self.cell.make_withheld_check(), self.cell.find_required_executors()
         found = [
             stalled
             for name in overdue
@@ -151,7 +151,11 @@
 
     def _is_running(self, attempt: Attempt) -> bool:
         state = self.cell.executors.get(attempt.executor)
-        return attempt.phase is Phase.RUNNING and state is not None and state.silent_since is None
+        return (
+            attempt.phase is Phase.RUNNING
+            and state is not None
+            and state.unresponsive_since is None
+        )
 
     def _diagnose(
         self,
@@ -199,7 +203,7 @@
         if not pins.keys().isdisjoint(keys):
             return WaitCause.LATE_START
         if withheld is not None and applies(map(withheld, keys)):
-            find_possible_run = self.cell.find_doubt()
+            find_possible_run = self.cell.make_may_run_check()
             may_have_run = find_possible_run is not None and any(map(find_possible_run, keys))
             return WaitCause.EARLIER_RUN if may_have_run else WaitCause.CRASHES
         if not all(job.may_start(task) for task in step.open_tasks()):
@@ -211,7 +215,9 @@
         if trio.current_time() - self._planned_at >= PLAN_OVERDUE_S:
             return WaitCause.PLAN_OVERDUE
         unknown = (
-            WaitCause.UNEXPLAINED if self.cell.parts.is_naming() else WaitCause.NO_RECORDED_EXECUTOR
+            WaitCause.UNEXPLAINED
+            if self.cell.parts.can_write_store()
+            else WaitCause.NO_RECORDED_EXECUTOR
         )
         return self._causes.get(key, unknown)
 
@@ -227,12 +233,14 @@
             known_for_s=round(self.cell.parts.stands.note(job.spec.id, for_s), 3),
             accepted_ago_s=round(self.cell.parts.wall_clock() - job.spec.accepted_at, 3),
             cause=stalled.cause.value,
-            open=step.open_count,
+            open=step.waiting_count,
             of=len(step.tasks),
             fits=stalled.fits,
             fits_anywhere=stalled.fits_anywhere,
             refusals=dict(stalled.refusals),
-            silent=sorted(self.cell.list_silent_ids() | self.cell.list_unsure())[:MAX_LISTED],
+            silent=sorted(self.cell.list_unreported_ids() | self.cell.list_uncertain())[
+                :MAX_LISTED
+            ],
             runs=[_describe_attempt(attempt, now) for attempt in attempts[:MAX_LISTED]],
             standing=standing,
             silences=self._describe_possible_holders(job, now),
@@ -247,10 +255,10 @@
         """
         own = {attempt.executor for attempt in job.attempts()}
         inherited = set(job.places.inherited or ())
-        names = own | self.cell.list_silent_ids() | self.cell.list_unsure()
+        names = own | self.cell.list_unreported_ids() | self.cell.list_uncertain()
         ranked = sorted(names, key=lambda name: (name not in own, name not in inherited, name))
         states = (self.cell.executors[name] for name in ranked if name in self.cell.executors)
-        silent = (s for s in states if not s.heard or s.silent_since is not None)
+        silent = (s for s in states if not s.has_reported or s.unresponsive_since is not None)
         return describe_silences(silent, now)
 
 
@@ -261,12 +269,12 @@
 
 def _describe_unresponsive(state: ExecutorState, now: float) -> dict[str, Any]:
     """Describe how long an executor has been unresponsive and until when it may hold runs (s)."""
-    since = state.silent_since
+    since = state.unresponsive_since
     return {
         "executor": state.id,
         "silent_s": None if since is None else round(now - since, 3),
         "listed": state.listed,
-        "holds_for_s": round(max(0.0, state.lapse_by - now), 3),
+        "holds_for_s": round(max(0.0, state.lease_ends_by - now), 3),
     }
 
 
--- a/packages/heronthread-dispatch/tests/test_crash_attribution.py
+++ b/packages/heronthread-dispatch/tests/test_crash_attribution.py
@@ -2,7 +2,7 @@
 
 from heronthread_dispatch.crashes import ActiveRun, attribute_crash
 from heronthread_dispatch.model import Life, TaskKey
-from heronthread_dispatch.progress import MOST_CRASHES, TaskState
+from heronthread_dispatch.progress import MAX_CRASHES, TaskState
 from heronthread_dispatch.record import Blame, JobStatus, ProgressRecord, StepProgress
 
 BAD, GOOD, OTHER = TaskKey("bad", 0, 0), TaskKey("good", 0, 0), TaskKey("other", 0, 0)
@@ -67,15 +67,15 @@
 
 def test_task_is_given_up_at_its_second_blame_or_fourth_crash() -> None:
     task = TaskState(0)
-    task.note_crash("e0", Blame.BLAMED)
-    task.note_crash("e0", Blame.BLAMED)
+    task.set_blame("e0", Blame.BLAMED)
+    task.set_blame("e0", Blame.BLAMED)
     assert not task.is_given_up
-    task.note_crash("e1", Blame.BLAMED)
+    task.set_blame("e1", Blame.BLAMED)
     assert task.is_given_up
-    task.note_crash("e1", None)
-    for number in range(1, MOST_CRASHES):
+    task.set_blame("e1", None)
+    for number in range(1, MAX_CRASHES):
         assert not task.is_given_up
-        task.note_crash(f"e{number}", Blame.SUSPECTED)
+        task.set_blame(f"e{number}", Blame.SUSPECTED)
     assert task.is_given_up
 
 
--- a/packages/heronthread-dispatch/tests/test_directory.py
+++ b/packages/heronthread-dispatch/tests/test_directory.py
@@ -3,10 +3,10 @@
 import json
 
 import trio
+from heronthread_dispatch.executors_in_use import USED_KEY
 from heronthread_dispatch.intake import Taken
 from heronthread_dispatch.model import TaskKey
 from heronthread_dispatch.record import JobStatus
-from heronthread_dispatch.used import USED_KEY
 from heronthread_emulator import EmulatedSite, captured_events, check_foreign, check_promises
 from heronthread_emulator.site import ENTRIES
 
@@ -108,7 +108,7 @@
         entry = json.loads(site.store.items[ENTRIES + "e0"].value) | {"pool": "other"}
         site.write_foreign("e0", json.dumps(entry).encode())
         await trio.sleep(1.0)
-        assert _get_owner(site).cell.executors["e0"].is_set_aside
+        assert _get_owner(site).cell.executors["e0"].has_unusable_entry
         assert _get_owner(site).cell.executors["e0"].executor.pool == "pool"
         await trio.sleep(10.0)
         assert await site.find_status("a") is JobStatus.SUCCEEDED
--- a/packages/heronthread-dispatch/tests/test_used.py
+++ b/packages/heronthread-dispatch/tests/test_executors_in_use.py
@@ -4,15 +4,15 @@
 
 import pytest
 import trio
-from heronthread_dispatch.model import TaskKey
-from heronthread_dispatch.record import Unreadable
-from heronthread_dispatch.used import (
+from heronthread_dispatch.executors_in_use import (
     NOTE_INTERVAL_S,
     USED_KEY,
     UsedExecutor,
     decode_used,
     encode_used,
 )
+from heronthread_dispatch.model import TaskKey
+from heronthread_dispatch.record import Unreadable
 from heronthread_emulator import EmulatedSite, check_promises
 
 Clock = trio.testing.MockClock
--- a/packages/heronthread-dispatch/tests/test_fitting.py
+++ b/packages/heronthread-dispatch/tests/test_fitting.py
@@ -8,7 +8,7 @@
 from heronthread_dispatch.host import Host
 from heronthread_dispatch.intake import IntakeOutcome, NoSuchJob, NotTaken, Taken
 from heronthread_dispatch.keystore import Item, Missing
-from heronthread_dispatch.owned import job_key
+from heronthread_dispatch.owned_cell import job_key
 from heronthread_dispatch.peer import PeerUnreachable
 from heronthread_dispatch.sizes import SETTLE_WINDOW_S
 from heronthread_dispatch.wire.ttypes import ForwardReply, Frame, Operation
--- a/packages/heronthread-dispatch/tests/test_instance_restart.py
+++ b/packages/heronthread-dispatch/tests/test_instance_restart.py
@@ -15,11 +15,11 @@
     Report,
     Unanswered,
 )
+from heronthread_dispatch.executor_watch import ExecutorWatch
+from heronthread_dispatch.executors_in_use import UsedExecutor, decode_used
 from heronthread_dispatch.late_starts import MAX_ORDER_DELAY_S
 from heronthread_dispatch.model import Executor, Resources, TaskKey
 from heronthread_dispatch.record import JobStatus
-from heronthread_dispatch.used import UsedExecutor, decode_used
-from heronthread_dispatch.watching import ExecutorWatch
 from heronthread_emulator import EmulatedSite, Told, check_promises
 from heronthread_emulator.checker import check_capacity
 from heronthread_emulator.executors import WorkSpec
@@ -408,11 +408,15 @@
         owner = site.hosts["h0"].owner
         assert owner is not None
         watch = ExecutorWatch(owner.cell, owner.cell.executors["e0"], owner.depose)
-        watch.state.noted = watch.state.seen = 5
+        watch.state.processed_end = watch.state.recorded_end = 5
         report = Report(100, (), (), born=watch.state.life.born + 1)
         await watch._handle_report(report, HoldOrder(1, 5, None, 0.0), trio.current_time())
         assert owner.cell.executors["e0"] is watch.state
-        assert (watch.state.noted, watch.state.seen, watch.state.acknowledged) == (0, 0, 0)
+        assert (watch.state.processed_end, watch.state.recorded_end, watch.state.acknowledged) == (
+            0,
+            0,
+            0,
+        )
 
 
 async def test_runs_of_an_instance_without_an_entry_are_not_dropped(autojump_clock: Clock) -> None:
--- a/packages/heronthread-dispatch/tests/test_late_starts.py
+++ b/packages/heronthread-dispatch/tests/test_late_starts.py
@@ -3,7 +3,7 @@
 from dataclasses import replace
 
 import trio
-from heronthread_dispatch.fleet import ExecutorState, make_executor
+from heronthread_dispatch.fleet import ExecutorState, make_executor_state
 from heronthread_dispatch.late_starts import (
     MAX_ORDER_DELAY_S,
     NOWHERE,
@@ -29,8 +29,8 @@
     await trio.sleep(5.0)
     second = _make_attempt(2)
     starts.track(second)
-    assert starts.list_open("e0") == [LateStart(first.task, 1), LateStart(first.task, 2)]
-    assert starts.list_open("e1") == []
+    assert starts.list_unresolved("e0") == [LateStart(first.task, 1), LateStart(first.task, 2)]
+    assert starts.list_unresolved("e1") == []
     await trio.sleep(MAX_ORDER_DELAY_S - 5.0)
     assert not starts.is_open(first)
     assert starts.is_open(second)
@@ -47,8 +47,8 @@
 
 def _make_state(name: str, born: int) -> ExecutorState:
     executor = Executor(name, name, "pool", "zone", "rack", (), Resources(8, 8, 8), born=born)
-    state = make_executor(executor, trio.current_time())
-    state.heard = True
+    state = make_executor_state(executor, trio.current_time())
+    state.has_reported = True
     return state
 
 
@@ -58,20 +58,20 @@
     starts, first = LateStarts(), _make_attempt(1)
     states = {"e0": _make_state("e0", 7), "e1": _make_state("e1", 7)}
     starts.track(first)
-    assert starts.find_pins(states) == {first.task: NOWHERE}
+    assert starts.find_required_executors(states) == {first.task: NOWHERE}
     starts.mark_refused(Life("e0", 7), first.task, 1)
-    assert starts.find_pins(states) == {first.task: "e0"}
+    assert starts.find_required_executors(states) == {first.task: "e0"}
     starts.note_start_refused(first.task)
-    assert starts.find_pins(states) == {first.task: NOWHERE}
+    assert starts.find_required_executors(states) == {first.task: NOWHERE}
     await trio.sleep(RETRY_REFUSED_S)
-    states["e0"].silent_since = trio.current_time()
-    assert starts.find_pins(states) == {first.task: NOWHERE}
+    states["e0"].unresponsive_since = trio.current_time()
+    assert starts.find_required_executors(states) == {first.task: NOWHERE}
     states["e0"] = _make_state("e0", 9)
-    assert starts.find_pins(states) == {first.task: NOWHERE}
+    assert starts.find_required_executors(states) == {first.task: NOWHERE}
     starts.mark_refused(Life("e0", 9), first.task, 1)
-    assert starts.find_pins(states) == {first.task: "e0"}
+    assert starts.find_required_executors(states) == {first.task: "e0"}
     await trio.sleep(MAX_ORDER_DELAY_S)
-    assert starts.find_pins(states) == {}
+    assert starts.find_required_executors(states) == {}
 
 
 async def test_unresolved_starts_at_two_executors_withhold_a_task(
@@ -83,7 +83,7 @@
     for attempt in (first, other):
         starts.track(attempt)
         starts.mark_refused(attempt.life, attempt.task, attempt.run)
-    assert starts.find_pins(states) == {first.task: NOWHERE}
+    assert starts.find_required_executors(states) == {first.task: NOWHERE}
 
 
 async def test_an_evacuated_executor_pins_no_task(autojump_clock: Clock) -> None:
@@ -91,9 +91,9 @@
     states = {"e0": _make_state("e0", 7)}
     starts.track(first)
     states["e0"].evacuated = True
-    assert starts.find_pins(states) == {first.task: NOWHERE}
+    assert starts.find_required_executors(states) == {first.task: NOWHERE}
     starts.mark_refused(Life("e0", 7), first.task, 1)
-    assert starts.find_pins(states) == {}
+    assert starts.find_required_executors(states) == {}
 
 
 async def test_an_answered_send_leaves_earlier_sends_unresolved(
@@ -117,4 +117,4 @@
 ) -> None:
     starts = LateStarts()
     starts.track(replace(_make_attempt(1), life=Life("e0", 0)))
-    assert starts.list_open("e0") == []
+    assert starts.list_unresolved("e0") == []
--- a/packages/heronthread-dispatch/tests/test_orders.py
+++ b/packages/heronthread-dispatch/tests/test_orders.py
@@ -120,7 +120,7 @@
         site.executors.plant_run("e0", gone, 2, work_s=0.4)
         await trio.sleep(3.0)
         state = site.hosts["h0"].owner.cell.executors["e0"]
-        assert not state.strays
+        assert not state.orphans
         assert state.free.accelerators == 7
 
 
--- a/packages/heronthread-dispatch/tests/test_places.py
+++ b/packages/heronthread-dispatch/tests/test_placements.py
@@ -18,8 +18,8 @@
     TaskKey,
 )
 from heronthread_dispatch.orders import Orders
-from heronthread_dispatch.owned import job_key
-from heronthread_dispatch.places import JobPlaces
+from heronthread_dispatch.owned_cell import job_key
+from heronthread_dispatch.placements import JobPlacements
 from heronthread_dispatch.progress import JobState, make_job
 from heronthread_dispatch.record import (
     JobRecord,
@@ -30,7 +30,7 @@
     decode_progress,
 )
 from heronthread_dispatch.recorder import progress_key
-from heronthread_dispatch.task_names import ANY, find_mask, name_all
+from heronthread_dispatch.task_masks import ANY, find_mask, map_to_any_task
 from heronthread_emulator import EmulatedSite, check_promises
 from heronthread_emulator.executors import EmulatedExecutors
 from heronthread_emulator.soak import run_soak
@@ -100,20 +100,20 @@
     async def name_nothing(self: Orders, orders: object) -> bool:
         return True
 
-    with patch.object(Orders, "_name_places", name_nothing):
+    with patch.object(Orders, "_record_placements", name_nothing):
         run_soak(0, STORE_FAULTS)
     assert unnamed
 
 
 def test_a_write_in_flight_counts_only_for_what_both_records_have() -> None:
-    places = JobPlaces()
+    places = JobPlacements()
     a, b = {"a": ANY}, {"b": ANY}
     assert not places.covers(a)
-    places.begin_write(name_all("ab"))
+    places.begin_write(map_to_any_task("ab"))
     assert not places.covers(a), "the write may not be applied yet"
-    places.end_write(name_all("ab"))
-    places.begin_write(name_all("bc"))
-    places.begin_write(name_all("bd"))
+    places.end_write(map_to_any_task("ab"))
+    places.begin_write(map_to_any_task("bc"))
+    places.begin_write(map_to_any_task("bd"))
     assert places.covers(b)
     assert not places.covers(a)
     assert not places.covers({"c": ANY})
@@ -121,7 +121,7 @@
 
 
 def test_an_executor_is_recorded_only_for_the_tasks_of_its_mask() -> None:
-    places = JobPlaces()
+    places = JobPlacements()
     places.begin_write({"a": 0b0111})
     places.end_write({"a": 0b0111})
     assert places.covers({"a": 0b0101})
@@ -134,25 +134,25 @@
 
 
 def test_a_record_without_placements_may_mean_any() -> None:
-    places = JobPlaces()
+    places = JobPlacements()
     places.restore(None)
     assert places.find_uncertain({"a"}, ()) == ANY
-    assert places.list_for_store(name_all("b")) is None
+    assert places.list_to_record(map_to_any_task("b")) is None
     places.drop_resolved(())
-    assert places.list_for_store(name_all("b")) == {"b": ANY}
+    assert places.list_to_record(map_to_any_task("b")) == {"b": ANY}
 
 
 def test_uncertain_placements_stay_recorded_until_they_are_resolved() -> None:
-    places = JobPlaces()
+    places = JobPlacements()
     places.restore({"a": 0b01, "b": 0b10})
     places.drop_resolved({"a", "z"})
     assert places.find_uncertain({"a"}, ()) == 0b01
     assert places.find_uncertain({"b"}, ()) == 0
-    assert places.list_for_store({"a": 0b10, "c": 0b10}) == {"a": 0b11, "c": 0b10}
+    assert places.list_to_record({"a": 0b10, "c": 0b10}) == {"a": 0b11, "c": 0b10}
 
 
 def test_starts_of_an_earlier_owner_that_are_not_listed_may_be_late() -> None:
-    places = JobPlaces()
+    places = JobPlacements()
     places.restore({"a": 0b01, "b": 0b10})
     places.drop_resolved(())
     assert places.find_uncertain((), {"b"}) == 0b10
@@ -163,24 +163,24 @@
 def test_inherited_placements_are_passed_on_only_while_uncertain() -> None:
     """Otherwise the next owner withholds tasks at executors where their runs ended long ago."""
     for starts, handed_on in ((frozenset(), {}), (None, {"a": 0b01})):
-        places = JobPlaces()
+        places = JobPlacements()
         places.restore({"a": 0b01}, starts)
-        assert places.list_for_store({}) == {"a": 0b01}
+        assert places.list_to_record({}) == {"a": 0b01}
         places.drop_resolved(())
         places.late = places.earlier
-        assert places.list_for_store({}) == handed_on
+        assert places.list_to_record({}) == handed_on
 
 
 def test_placements_missing_in_an_unanswered_write_are_recorded_once_more() -> None:
     """Otherwise a run that ends when the store fails would lose its task's executor."""
-    places = JobPlaces()
+    places = JobPlacements()
     places.add_left("a", 0b01)
-    names = places.list_for_store({"b": 0b10})
+    names = places.list_to_record({"b": 0b10})
     assert names == {"a": 0b01, "b": 0b10}
     places.begin_write(names)
     places.add_left("a", 0b10)
     places.end_write(names)
-    assert places.list_for_store({}) == {"a": 0b10}
+    assert places.list_to_record({}) == {"a": 0b10}
 
 
 def test_earlier_versions_read_the_executors_and_ignore_the_tasks() -> None:
@@ -191,7 +191,7 @@
     assert value["places"] == ["a", "b", "c"]
     assert ProgressRecord.decode(data).places == names
     del value["place_tasks"]
-    assert ProgressRecord.decode(json.dumps(value).encode()).places == name_all("abc")
+    assert ProgressRecord.decode(json.dumps(value).encode()).places == map_to_any_task("abc")
 
 
 @pytest.mark.parametrize(
--- a/packages/heronthread-dispatch/tests/test_planner.py
+++ b/packages/heronthread-dispatch/tests/test_planner.py
@@ -115,7 +115,7 @@
     step = StepSpec(2, need, 1.0, gang=gang, spread_limit=1)
     job = make_job(JobSpec("a", DESIRED.queues[0], "t", "", (step,), NOW), NOW)
     orphan = Attempt(TaskKey("a", 0, 1), 1, states[0].life, need, NOW, Phase.STOPPING)
-    states[0].occupy_astray(orphan)
+    states[0].occupy_orphan(orphan)
     starts = _list_starts(Planner([job], states, DESIRED, NOW, NOW).make())
     assert sorted(executor for _, _, executor in starts) == [states[1].id, states[2].id]
     other = make_job(JobSpec("b", DESIRED.queues[0], "t", "", (step,), NOW), NOW)
@@ -159,11 +159,11 @@
     """An executor in backoff accepts pinned tasks; an unresponsive or full one does not."""
     states = make_executors(4)
     pins = {1: states[3].id}
-    states[3].rest_until = NOW + 5
+    states[3].backoff_until = NOW + 5
     assert _plan_pinned(_make_pinned(3, gang=gang), states, pins)[1] == states[3].id
-    states[3].silent_since = NOW - 1
+    states[3].unresponsive_since = NOW - 1
     assert 1 not in _plan_pinned(_make_pinned(3, gang=gang), states, pins)
-    states[3].silent_since, states[3].free = None, Resources()
+    states[3].unresponsive_since, states[3].free = None, Resources()
     assert 1 not in _plan_pinned(_make_pinned(3, gang=gang), states, pins)
 
 
@@ -180,7 +180,7 @@
     states = make_executors(4)
     limited = _make_pinned(3, gang=gang, spread_limit=1)
     orphan = Attempt(TaskKey("a", 0, 1), 1, states[3].life, Resources(), NOW, Phase.STOPPING)
-    states[3].occupy_astray(orphan)
+    states[3].occupy_orphan(orphan)
     assert 1 not in _plan_pinned(limited, states, pins)
     states[3].release(orphan)
     placed = _plan_pinned(_make_pinned(3, gang=gang, spread_limit=1), states, pins)
--- a/packages/heronthread-dispatch/tests/test_record.py
+++ b/packages/heronthread-dispatch/tests/test_record.py
@@ -4,8 +4,9 @@
 import random
 
 import trio
+from heronthread_dispatch.executors_in_use import decode_used
 from heronthread_dispatch.model import ApprovalTerms, JobSpec, Queue, Resources, Schedule, StepSpec
-from heronthread_dispatch.owned import job_key
+from heronthread_dispatch.owned_cell import job_key
 from heronthread_dispatch.record import (
     JobRecord,
     JobStatus,
@@ -15,7 +16,6 @@
 )
 from heronthread_dispatch.recorder import progress_key
 from heronthread_dispatch.tenure import Presence
-from heronthread_dispatch.used import decode_used
 from heronthread_emulator import EmulatedSite, captured_events
 from hypothesis import given
 from hypothesis import strategies as st
--- a/packages/heronthread-dispatch/tests/test_refusals.py
+++ b/packages/heronthread-dispatch/tests/test_refusals.py
@@ -16,12 +16,12 @@
     OtherLife,
     StartOrder,
 )
+from heronthread_dispatch.executors_in_use import USED_KEY
 from heronthread_dispatch.fleet import ExecutorState, WorkRefusal
 from heronthread_dispatch.keystore import CommitOutcome, Transaction
 from heronthread_dispatch.model import Executor, TaskKey
 from heronthread_dispatch.owner import Owner
 from heronthread_dispatch.record import JobStatus
-from heronthread_dispatch.used import USED_KEY
 from heronthread_emulator import EmulatedSite, check_promises
 from heronthread_emulator.executors import EmulatedExecutor, WorkSpec
 from heronthread_emulator.site import ENTRIES
--- a/packages/heronthread-dispatch/tests/test_relay.py
+++ b/packages/heronthread-dispatch/tests/test_relay.py
@@ -57,7 +57,7 @@
         await trio.sleep(2.0)
         site.store.is_down = True
         assert host.owner is not None
-        host.owner.note_job(site.make_job("a", work_s=1.0))
+        host.owner.apply_job(site.make_job("a", work_s=1.0))
         await trio.sleep(4.0)
         assert site.executors.starts() == []
         site.store.is_down = False
--- a/packages/heronthread-dispatch/tests/test_room.py
+++ b/packages/heronthread-dispatch/tests/test_room.py
@@ -18,7 +18,7 @@
             name = f"{rack}-{number}"
             executor = Executor(name, name, "pool", "z", rack, (), CAPACITY)
             state = ExecutorState(executor, free=CAPACITY)
-            state.heard = state.recorded = True
+            state.has_reported = state.recorded = True
             states.append(state)
     return states
 
--- a/packages/heronthread-dispatch/tests/test_victims.py
+++ b/packages/heronthread-dispatch/tests/test_victims.py
@@ -37,7 +37,7 @@
     need = Resources(100, 100, accelerators)
     job = make_job(JobSpec(name, BATCH, "t", "", (StepSpec(1, need, 8.0),), 0.0), NOW)
     attempt = Attempt(TaskKey(name, 0, 0), 1, offer.state.life, need, NOW - ran_s, Phase.RUNNING)
-    attempt.began_at, attempt.moved_at, attempt.percent = NOW - ran_s, NOW, percent
+    attempt.began_at, attempt.progressed_at, attempt.percent = NOW - ran_s, NOW, percent
     job.steps[0].tasks[0].attempt = attempt
     offer.state.occupy(attempt)
     offer.free = offer.projected = offer.state.free
--- a/packages/heronthread-dispatch/tests/test_waiting.py
+++ b/packages/heronthread-dispatch/tests/test_waiting.py
@@ -85,7 +85,7 @@
         await trio.sleep(1.0)
         assert host.owner is not None
         site.store.is_down = True
-        host.owner.note_job(site.make_job("a"))
+        host.owner.apply_job(site.make_job("a"))
         with captured_events() as events:
             await trio.sleep(4.0)
         reports = [event for event in events if event["message_type"] == "job.stands"]
@@ -180,7 +180,7 @@
     small = Resources(1_000, 1_000, 0)
     job.steps[0].spec = replace(job.steps[0].spec, need=small, count=1)
     key = TaskKey("a", 0, 0)
-    states[0].occupy_astray(Attempt(key, 1, states[0].life, small, NOW, Phase.STOPPING))
+    states[0].occupy_orphan(Attempt(key, 1, states[0].life, small, NOW, Phase.STOPPING))
     assert _find_cause(states, job) == (WaitCause.SPREAD, [])
 
 
@@ -202,7 +202,7 @@
 
 
 def test_no_recorded_executor_has_capacity() -> None:
-    found = _find_cause(make_executors(1), _make_job("a"), is_naming=False)
+    found = _find_cause(make_executors(1), _make_job("a"), can_write_store=False)
     assert found == (WaitCause.NO_RECORDED_EXECUTOR, [])
 
 
--- a/packages/heronthread-emulator/src/heronthread_emulator/plants.py
+++ b/packages/heronthread-emulator/src/heronthread_emulator/plants.py
@@ -10,26 +10,26 @@
 from unittest.mock import patch
 
 import trio
-from heronthread_dispatch import watching
+from heronthread_dispatch import executor_watch
 from heronthread_dispatch.crashes import Crashes
 from heronthread_dispatch.directory import Directory
 from heronthread_dispatch.entries import BadEntry, EntryFault
 from heronthread_dispatch.executor_link import EndedRun, EndKind, Report
+from heronthread_dispatch.executor_watch import ExecutorWatch
 from heronthread_dispatch.fleet import ExecutorState
 from heronthread_dispatch.intake import NotTaken, Unsettled
 from heronthread_dispatch.keystore import Item
 from heronthread_dispatch.late_starts import LateStarts
 from heronthread_dispatch.model import Executor, TaskKey
 from heronthread_dispatch.orders import Orders
-from heronthread_dispatch.owned import OwnedCell
-from heronthread_dispatch.owner import ENTRY_BACK_S, Owner
-from heronthread_dispatch.places import JobPlaces
+from heronthread_dispatch.owned_cell import OwnedCell
+from heronthread_dispatch.owner import ENTRY_RETURN_TIMEOUT_S, Owner
+from heronthread_dispatch.placements import JobPlacements
 from heronthread_dispatch.plan import Start
 from heronthread_dispatch.progress import Attempt, JobState
 from heronthread_dispatch.record import MALFORMED, ProgressRecord
 from heronthread_dispatch.requests import Requests
-from heronthread_dispatch.task_names import Names, name_all, unite
-from heronthread_dispatch.watching import ExecutorWatch
+from heronthread_dispatch.task_masks import TaskMasks, map_to_any_task, unite
 
 from .executors import EmulatedExecutor, EmulatedExecutors
 
@@ -42,14 +42,14 @@
     def find_none(self: OwnedCell) -> None:
         return None
 
-    return patch.object(OwnedCell, "find_doubt", find_none)
+    return patch.object(OwnedCell, "make_may_run_check", find_none)
 
 
 def _forget_ends_unrecorded() -> Any:
     """Ends are taken note of before they are in the store."""
 
     async def wait_for_nothing(self: ExecutorWatch) -> None:
-        self.state.seen = self.state.noted
+        self.state.recorded_end = self.state.processed_end
 
     return patch.object(ExecutorWatch, "_wait_recorded", wait_for_nothing)
 
@@ -77,19 +77,19 @@
 def _forget_silent_executors() -> Any:
     """Runs of a silent executor count as ended at once."""
 
-    def always(self: ExecutorState, now: float, hold_s: float) -> int | None:
+    def always(self: ExecutorState, now: float, executor_lease_s: float) -> int | None:
         if self.clock is None:
             return None
         sent, _, clock_ms = self.clock
-        self.lapse_by = now
-        return clock_ms + int((now - sent + hold_s) * 1000)
+        self.lease_ends_by = now
+        return clock_ms + int((now - sent + executor_lease_s) * 1000)
 
     return patch.object(ExecutorState, "deadline_ms", always)
 
 
 def _count_no_failures() -> Any:
     """Failed runs are not counted."""
-    original = OwnedCell.note_end
+    original = OwnedCell.process_end
 
     def note(self: OwnedCell, state: ExecutorState, end: EndedRun) -> None:
         if end.kind is EndKind.FAILED:
@@ -99,7 +99,7 @@
             return
         original(self, state, end)
 
-    return patch.object(OwnedCell, "note_end", note)
+    return patch.object(OwnedCell, "process_end", note)
 
 
 def _show_success_early() -> Any:
@@ -132,12 +132,12 @@
     """An earlier owner's executor is given up as its entry is missing, whatever the store did."""
 
     def drop(self: Owner, started: float) -> None:
-        if trio.current_time() < started + ENTRY_BACK_S:
+        if trio.current_time() < started + ENTRY_RETURN_TIMEOUT_S:
             return
         for state in self.cell.silent():
             state.dead |= not state.listed
 
-    return patch.object(Owner, "_drop_gone", drop)
+    return patch.object(Owner, "_drop_missing_executors", drop)
 
 
 def _forget_cancelled_runs() -> Any:
@@ -213,7 +213,7 @@
         old.executor = replace(old.executor, born=report.born)
         return old
 
-    return patch.object(watching, "begin_life", keep)
+    return patch.object(executor_watch, "replace_instance", keep)
 
 
 def _forget_late_starts() -> Any:
@@ -222,13 +222,15 @@
     def list_none(self: LateStarts, executor: str) -> list[Any]:
         return []
 
-    return patch.multiple(LateStarts, list_open=list_none, is_open=lambda self, attempt: False)
+    return patch.multiple(
+        LateStarts, list_unresolved=list_none, is_open=lambda self, attempt: False
+    )
 
 
 def _withhold_beside_silent_executors() -> Any:
     """A new owner starts no task of an older job while any executor it inherited is silent."""
 
-    def find_doubt(self: OwnedCell) -> Callable[[TaskKey], bool] | None:
+    def make_may_run_check(self: OwnedCell) -> Callable[[TaskKey], bool] | None:
         if not self.silent():
             return None
 
@@ -238,7 +240,7 @@
 
         return may_run
 
-    return patch.object(OwnedCell, "find_doubt", find_doubt)
+    return patch.object(OwnedCell, "make_may_run_check", make_may_run_check)
 
 
 def _start_where_no_record_names() -> Any:
@@ -247,12 +249,14 @@
     async def name_none(self: Orders, orders: list[tuple[Start, Attempt]]) -> bool:
         return True
 
-    def list_others(self: JobPlaces, now_at: Names) -> Names | None:
-        return None if self.inherited is None else unite(self.inherited, name_all(self.spare))
+    def list_others(self: JobPlacements, now_at: TaskMasks) -> TaskMasks | None:
+        return (
+            None if self.inherited is None else unite(self.inherited, map_to_any_task(self.spare))
+        )
 
     stack = ExitStack()
-    stack.enter_context(patch.object(Orders, "_name_places", name_none))
-    stack.enter_context(patch.object(JobPlaces, "list_for_store", list_others))
+    stack.enter_context(patch.object(Orders, "_record_placements", name_none))
+    stack.enter_context(patch.object(JobPlacements, "list_to_record", list_others))
     return stack
 
 
--- a/packages/heronthread-emulator/src/heronthread_emulator/pool_model.py
+++ b/packages/heronthread-emulator/src/heronthread_emulator/pool_model.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 
 import simpy
-from heronthread_dispatch.fleet import ExecutorState, make_executor
+from heronthread_dispatch.fleet import ExecutorState, make_executor_state
 from heronthread_dispatch.model import (
     DesiredState,
     Executor,
@@ -175,7 +175,7 @@
             percent = 100 * min(0.99, (run.saved_s + now - run.began) / run.takes_s)
             for attempt in run.attempts:
                 attempt.percent = percent
-                attempt.moved_at = now
+                attempt.progressed_at = now
                 attempt.rate = attempt.best_rate = 100 / run.takes_s
 
     def _carry_out(self, plan: Plan) -> None:
@@ -221,7 +221,7 @@
         for attempt in attempts:
             attempt.phase = Phase.RUNNING
             attempt.began_at = run.began
-            attempt.moved_at = run.began
+            attempt.progressed_at = run.began
             attempt.began_percent = 100 * run.saved_s / takes_s
             self._runs[id(attempt)] = run
         run.process = self.env.process(self._work(known, run))
@@ -317,8 +317,8 @@
         rack = f"r{number // pattern.rack}"
         name = f"e{number}"
         executor = Executor(name, name, "pool", "zone", rack, ("kind", rack), pattern.capacity)
-        state = make_executor(executor, 0.0)
-        state.heard = state.recorded = True
+        state = make_executor_state(executor, 0.0)
+        state.has_reported = state.recorded = True
         found.append(state)
     return found
 
--- a/packages/heronthread-emulator/src/heronthread_emulator/site.py
+++ b/packages/heronthread-emulator/src/heronthread_emulator/site.py
@@ -25,7 +25,7 @@
     StepSpec,
     Tenant,
 )
-from heronthread_dispatch.owned import Timing
+from heronthread_dispatch.owned_cell import Timing
 from heronthread_dispatch.owner import JobView
 from heronthread_dispatch.peer import PeerUnreachable
 from heronthread_dispatch.policy import DEFAULT_POLICY, Policy
--- a/packages/heronthread-emulator/src/heronthread_emulator/soak_standing.py
+++ b/packages/heronthread-emulator/src/heronthread_emulator/soak_standing.py
@@ -56,7 +56,7 @@
     now: float = 0.0
     places: dict[str, _Place] = field(default_factory=dict)
     over: set[Life] = field(default_factory=set)
-    silent_since: dict[str, float] = field(default_factory=dict)
+    unresponsive_since: dict[str, float] = field(default_factory=dict)
     unanswered: set[tuple[Life, TaskKey, int]] = field(default_factory=set)
     open_starts: dict[tuple[Life, TaskKey, int], float] = field(default_factory=dict)
     silent_places: set[int] = field(default_factory=set)
@@ -159,9 +159,9 @@
     def _note_silent(self, place: _Place) -> None:
         name = place.executor.id
         if place.is_silent or place.is_down:
-            self.silent_since.setdefault(name, self.now)
+            self.unresponsive_since.setdefault(name, self.now)
         else:
-            self.silent_since.pop(name, None)
+            self.unresponsive_since.pop(name, None)
 
     def take_event(self, event: Event) -> None:
         """Take in a start or an end: what its executor's runs take."""
@@ -175,7 +175,7 @@
 
     def may_run_at(self, life: Life) -> bool:
         """Whether a run of a life may go on as far as anybody but its executor can tell."""
-        place, since = self.places.get(life.id), self.silent_since.get(life.id)
+        place, since = self.places.get(life.id), self.unresponsive_since.get(life.id)
         if place is None or since is None or place.executor.born != life.born:
             return False
         return self.now < since + MOST_HOLD_S
@@ -259,7 +259,7 @@
             continue
         found = works.find_standing(spec, sight.now, ables, sight.list_doubtful(spec.id, works))
         if found is not None:
-            silent = ", ".join(sorted(sight.silent_since)) or "none"
+            silent = ", ".join(sorted(sight.unresponsive_since)) or "none"
             standing[spec.id] = f"{len(found[1])} tasks may start; silent: {silent}"
     return standing
 
--- a/packages/heronthread-emulator/src/heronthread_emulator/standing_site.py
+++ b/packages/heronthread-emulator/src/heronthread_emulator/standing_site.py
@@ -128,7 +128,10 @@
 
     def _may_run_at(self, life: Life, now: float) -> bool:
         """Whether a run of a life may go on as far as anybody but its executor can tell."""
-        silent_since = self._silent_since.get(life.id)
-        if silent_since is None or self.site.executors.by_id[life.id].executor.born != life.born:
+        unresponsive_since = self._silent_since.get(life.id)
+        if (
+            unresponsive_since is None
+            or self.site.executors.by_id[life.id].executor.born != life.born
+        ):
             return False
-        return now < silent_since + MOST_HOLD_S
+        return now < unresponsive_since + MOST_HOLD_S
--- a/tests/plain_planner/planner.py
+++ b/tests/plain_planner/planner.py
@@ -24,7 +24,7 @@
     latest_starts,
 )
 from heronthread_dispatch.sharing import Colocation
-from heronthread_dispatch.task_names import find_executors
+from heronthread_dispatch.task_masks import find_executors
 from heronthread_dispatch.victims import ENDS_SOON_S
 
 from .gangs import SPREAD_WAIT_S, GangPlacer
@@ -54,12 +54,12 @@
         approvals: Approvals | None = None,
         policy: Policy = DEFAULT_POLICY,
         stop_s: float = DEFAULT_STOP_S,
-        is_naming: bool = True,
+        can_write_store: bool = True,
         pins: Mapping[TaskKey, str] | None = None,
     ) -> None:
         self._pins = pins or {}
         assert not any(self._pins.values()), "pins to an executor are tried in test_planner"
-        self._is_naming = is_naming
+        self._can_write_store = can_write_store
         self.policy = policy
         self.jobs = list(jobs)
         self.desired = desired
@@ -122,7 +122,7 @@
                     continue
                 guaranteed = job.spec.id in self.guaranteed
                 rank = self._rank(job, step, queue)
-                if self._is_naming:
+                if self._can_write_store:
                     yield Candidate(job, step, queue, tasks, guaranteed, rank)
                     continue
                 covered = job.places.list_covered()
@@ -354,7 +354,7 @@
         if candidate.step.spec.spread_limit:
             keys = {candidate.job.key_of(candidate.step, task) for task in candidate.step.tasks}
             for offer in self._offer_by_executor.values():
-                runs = [*offer.state.attempts, *(task for task, _ in offer.state.strays)]
+                runs = [*offer.state.attempts, *(task for task, _ in offer.state.orphans)]
                 here = sum(task in keys for task in runs)
                 if here:
                     counts[offer.state.id] = here
--- a/tests/plain_planner/victims.py
+++ b/tests/plain_planner/victims.py
@@ -290,5 +290,5 @@
     gained = attempt.percent - attempt.began_percent
     if gained <= 0 or attempt.began_at is None:
         return float("inf")
-    worked = attempt.moved_at - attempt.began_at
-    return worked * (100 - attempt.percent) / gained - (now - attempt.moved_at)
+    worked = attempt.progressed_at - attempt.began_at
+    return worked * (100 - attempt.percent) / gained - (now - attempt.progressed_at)
--- a/tests/test_planner_equivalence.py
+++ b/tests/test_planner_equivalence.py
@@ -65,10 +65,10 @@
         state = ExecutorState(
             Executor(name, name, pool, "z", rack, labels, CAPACITY), free=CAPACITY
         )
-        state.heard = state.recorded = not self._chance(0.05)
+        state.has_reported = state.recorded = not self._chance(0.05)
         state.slow_until = NOW + 2.0 if self._chance(0.2) else 0.0
         state.leaves_at = NOW + 3.0 if self._chance(0.05) else None
-        state.rest_until = NOW + 1.0 if self._chance(0.05) else 0.0
+        state.backoff_until = NOW + 1.0 if self._chance(0.05) else 0.0
         return state
 
     def _make_step(self, queue: Queue, number: int) -> StepSpec:
@@ -128,7 +128,7 @@
     def _place(self, step: StepState, key: TaskKey, state: ExecutorState, percent: float) -> None:
         began = NOW - self.source.uniform(0.2, 9.0)
         attempt = Attempt(key, 1, state.life, step.spec.need, began, Phase.RUNNING)
-        attempt.began_at, attempt.moved_at = began, NOW - self.source.uniform(0, 0.1)
+        attempt.began_at, attempt.progressed_at = began, NOW - self.source.uniform(0, 0.1)
         attempt.percent = 100.0 if step.spec.lasting else percent
         state.occupy(attempt)
 
@@ -142,7 +142,7 @@
                     task = job.key_of(step, source.choice(step.tasks))
                     if step.spec.need.fits_in(state.free):
                         need = step.spec.need
-                        state.occupy_astray(Attempt(task, 9, state.life, need, NOW, Phase.STOPPING))
+                        state.occupy_orphan(Attempt(task, 9, state.life, need, NOW, Phase.STOPPING))
 
     def stop_some_steps(self) -> None:
         for job in self.jobs:
@@ -225,7 +225,7 @@
         jobs, executors = _make_state(seed)
         held: Counter[tuple[str, int, int, str]] = Counter()
         for state in executors:
-            for task in [*state.attempts, *(task for task, _ in state.strays)]:
+            for task in [*state.attempts, *(task for task, _ in state.orphans)]:
                 held[task.job, task.step, task.occurrence, state.id] += 1
         plan = make(jobs, executors, DESIRED, NOW, NOW).make()
         for start in (start for group in plan.groups for start in group):
