--- a/benchmarks/planning.py
+++ b/benchmarks/planning.py
@@ -26,7 +26,7 @@
 from heronthread_dispatch.planner import Planner
 from heronthread_dispatch.progress import Attempt, JobState, Phase, make_job
 
-from tests.plain_planner.planner import Planner as PlainPlanner
+from tests.reference_planner.planner import Planner as ReferencePlanner
 
 SIZES = ((24, 60), (176, 400), (270, 400), (540, 800))
 ROUNDS = 2
@@ -87,7 +87,7 @@
         job = make_job(spec, NOW)
         for task in job.steps[0].tasks:
             key = TaskKey(spec.id, 0, task.index)
-            attempt = Attempt(key, 1, state.life, step.need, NOW - 5, Phase.RUNNING)
+            attempt = Attempt(key, 1, state.instance, step.need, NOW - 5, Phase.RUNNING)
             attempt.began_at, attempt.moved_at = NOW - 5, NOW
             attempt.percent = source.uniform(10, 60)
             task.attempt = attempt
@@ -97,7 +97,7 @@
 
 
 def plan(
-    make: type[Planner] | type[PlainPlanner], states: list[ExecutorState], jobs: list[JobState]
+    make: type[Planner] | type[ReferencePlanner], states: list[ExecutorState], jobs: list[JobState]
 ) -> float:
     """Return the processor time of one plan, in ms."""
     started = time.process_time()
@@ -119,7 +119,7 @@
 
 
 def measure(
-    make: type[Planner] | type[PlainPlanner], executors: int, waiting: int, case: str
+    make: type[Planner] | type[ReferencePlanner], executors: int, waiting: int, case: str
 ) -> float:
     """Return the least time of one case."""
     times = []
@@ -134,7 +134,7 @@
     print("executors  jobs  case    plain ms  product ms  ratio")
     for executors, waiting in SIZES:
         for case in CASES:
-            plain = measure(PlainPlanner, executors, waiting, case)
+            plain = measure(ReferencePlanner, executors, waiting, case)
             product = measure(Planner, executors, waiting, case)
             print(
                 f"{executors:9d}  {waiting:4d}  {case:6}  {plain:8.1f}  {product:10.1f}"
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/approval.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/approval.py
@@ -16,7 +16,7 @@
 from .clock import lasting_time
 from .events import log_event
 from .executor_link import Unanswered
-from .model import ApprovalTerms, Life, TaskKey
+from .model import ApprovalTerms, ExecutorInstance, TaskKey
 
 MAX_EXECUTORS_PER_REQUEST = 100
 DEFAULT_EXECUTORS_PER_REQUEST = 30
@@ -26,21 +26,21 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Question:
+class ApprovalRequest:
     """A request to approve executor instances for a step; `step` is the key of its first task."""
 
     step: TaskKey
-    lives: tuple[Life, ...]
+    instances: tuple[ExecutorInstance, ...]
     terms: ApprovalTerms
 
     @property
     def executors(self) -> list[str]:
         """The executor ids, which are all that the service receives."""
-        return [life.id for life in self.lives]
+        return [instance.id for instance in self.instances]
 
 
 @dataclass(frozen=True, slots=True)
-class Approved:
+class ApprovalReply:
     """The ids of the approved executors with their tickets; all others are denied for good."""
 
     tickets: dict[str, str]
@@ -49,14 +49,14 @@
 class Approver(Protocol):
     """The service that approves executors."""
 
-    async def ask(self, question: Question) -> Approved | Unanswered:
+    async def ask(self, approval_request: ApprovalRequest) -> ApprovalReply | Unanswered:
         """Send one request."""
 
 
 class NoApprover:
     """Approves nothing, for cells without an approval service."""
 
-    async def ask(self, question: Question) -> Approved | Unanswered:
+    async def ask(self, approval_request: ApprovalRequest) -> ApprovalReply | Unanswered:
         """Return that no service is configured."""
         return Unanswered("no approver is known", unsent=True)
 
@@ -73,34 +73,34 @@
     def __init__(self, approver: Approver, on_answer: Callable[[], None]) -> None:
         self._approver = approver
         self._on_answer = on_answer
-        self._tickets: dict[TaskKey, dict[Life, _Ticket]] = defaultdict(dict)
-        self._denied: dict[TaskKey, set[Life]] = defaultdict(set)
-        self._queue: deque[Question] = deque()
+        self._tickets: dict[TaskKey, dict[ExecutorInstance, _Ticket]] = defaultdict(dict)
+        self._denied: dict[TaskKey, set[ExecutorInstance]] = defaultdict(set)
+        self._queue: deque[ApprovalRequest] = deque()
         self._pending: set[TaskKey] = set()
         self._has_queued = trio.Event()
 
-    def find_ticket(self, step: TaskKey, life: Life) -> str | None:
+    def find_ticket(self, step: TaskKey, instance: ExecutorInstance) -> str | None:
         """Return a step's valid ticket for an executor instance, None if there is none."""
-        ticket = self._tickets[step].get(life)
+        ticket = self._tickets[step].get(instance)
         if ticket is None or lasting_time() >= ticket.until:
             return None
         return ticket.text
 
-    def is_denied(self, step: TaskKey, life: Life) -> bool:
+    def is_denied(self, step: TaskKey, instance: ExecutorInstance) -> bool:
         """Whether an executor instance is denied for a step."""
-        return life in self._denied[step]
+        return instance in self._denied[step]
 
-    def want(self, question: Question) -> None:
+    def enqueue(self, approval_request: ApprovalRequest) -> None:
         """Queue a request unless one for the same step is pending."""
-        if question.step in self._pending or len(self._queue) >= MAX_QUEUED:
+        if approval_request.step in self._pending or len(self._queue) >= MAX_QUEUED:
             return
-        self._pending.add(question.step)
-        self._queue.append(question)
+        self._pending.add(approval_request.step)
+        self._queue.append(approval_request)
         self._has_queued.set()
 
-    def drop(self, step: TaskKey, life: Life) -> None:
+    def discard_ticket(self, step: TaskKey, instance: ExecutorInstance) -> None:
         """Discard a ticket that an executor rejected."""
-        self._tickets[step].pop(life, None)
+        self._tickets[step].pop(instance, None)
 
     async def run(self) -> None:
         """Send the queued requests one at a time until cancelled."""
@@ -110,30 +110,32 @@
                 await self._has_queued.wait()
             await self._ask(self._queue.popleft())
 
-    async def _ask(self, question: Question) -> None:
+    async def _ask(self, approval_request: ApprovalRequest) -> None:
         sent = lasting_time()
-        outcome = await self._approver.ask(question)
-        self._pending.discard(question.step)
+        outcome = await self._approver.ask(approval_request)
+        self._pending.discard(approval_request.step)
         if isinstance(outcome, Unanswered):
-            log_event("approval.unanswered", job=question.step.job, reason=outcome.reason)
+            log_event("approval.unanswered", job=approval_request.step.job, reason=outcome.reason)
             await trio.sleep(RETRY_DELAY_S)
         else:
-            self._store_answer(question, outcome, sent)
+            self._store_answer(approval_request, outcome, sent)
         self._on_answer()
 
-    def _store_answer(self, question: Question, outcome: Approved, sent: float) -> None:
-        until = sent + question.terms.validity_s - TICKET_MARGIN_S
-        for life in question.lives:
-            text = outcome.tickets.get(life.id)
+    def _store_answer(
+        self, approval_request: ApprovalRequest, outcome: ApprovalReply, sent: float
+    ) -> None:
+        until = sent + approval_request.terms.validity_s - TICKET_MARGIN_S
+        for instance in approval_request.instances:
+            text = outcome.tickets.get(instance.id)
             if text is None:
-                self._denied[question.step].add(life)
+                self._denied[approval_request.step].add(instance)
             else:
-                self._tickets[question.step][life] = _Ticket(text, until)
+                self._tickets[approval_request.step][instance] = _Ticket(text, until)
         log_event(
             "approval.answered",
-            job=question.step.job,
-            step=question.step.step,
-            asked=len(question.lives),
+            job=approval_request.step.job,
+            step=approval_request.step.step,
+            asked=len(approval_request.instances),
             approved=len(outcome.tickets),
             took_s=round(lasting_time() - sent, 3),
         )
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/sharing.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/colocation.py
@@ -10,8 +10,8 @@
 from collections.abc import Iterable
 
 from .model import StepSpec
+from .offers import Offer
 from .progress import Attempt, JobState, Phase, StepState
-from .room import Offer
 
 
 class Colocation:
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/confirming.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/confirming.py
@@ -85,7 +85,7 @@
         sent = trio.current_time()
         order = HoldOrder(cell.term.number, 0, None, 0.0)
         outcome = await cell.parts.link.hold(state.executor, order)
-        if isinstance(outcome, Report) and outcome.born in (0, state.life.born):
+        if isinstance(outcome, Report) and outcome.born in (0, state.instance.born):
             _close_unnamed(cell, state, outcome, sent)
 
 
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/crashes.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/crashes.py
@@ -12,14 +12,14 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
 
-from .events import describe_life, describe_run, log_event
+from .events import describe_instance, describe_run, log_event
 from .fleet import ExecutorState
-from .model import Life, TaskKey
+from .model import ExecutorInstance, TaskKey
 from .progress import Attempt, TaskState
 from .record import Blame
 from .statistics import Statistics
 
-YOUNG_S = 0.5
+RECENT_START_S = 0.5
 """A run started within this time before its executor became unresponsive may have crashed it."""
 LONG_RUNNING_S = 10.0
 """A run that has lasted this long is not suspected."""
@@ -54,7 +54,7 @@
     """An executor unresponsive since `at` (trio's clock), with the jobs of its recent starts."""
 
     at: float
-    life: Life
+    instance: ExecutorInstance
     rack: str
     recently_started_jobs: frozenset[str]
 
@@ -66,7 +66,7 @@
     ages.
     """
     runs = list(runs)
-    recently_started = [run for run in runs if run.age_s <= YOUNG_S]
+    recently_started = [run for run in runs if run.age_s <= RECENT_START_S]
     return recently_started or [run for run in runs if not run.seen]
 
 
@@ -94,7 +94,7 @@
 
 def has_recent_start(state: ExecutorState, now: float) -> bool:
     """Whether a run on an executor started so recently that a crash would make it a suspect."""
-    return any(now - attempt.ordered_at <= YOUNG_S for attempt in state.attempts.values())
+    return any(now - attempt.ordered_at <= RECENT_START_S for attempt in state.attempts.values())
 
 
 def sum_work_at_risk(state: ExecutorState, now: float) -> float:
@@ -120,26 +120,26 @@
         self._on_change = on_change
         self._statistics = statistics
         self._failures: deque[ExecutorFailure] = deque(maxlen=MAX_FAILURES)
-        self._noted: dict[Life, set[TaskKey]] = {}
+        self._noted: dict[ExecutorInstance, set[TaskKey]] = {}
 
     def restore(self, task: TaskKey, state: TaskState) -> None:
         """Restore the crashes of a task that an earlier owner noted."""
-        for life in state.crashes:
-            self._noted.setdefault(life, set()).add(task)
+        for instance in state.crashes:
+            self._noted.setdefault(instance, set()).add(task)
 
-    def begin_trial(self, task: TaskKey, life: Life) -> None:
+    def begin_trial(self, task: TaskKey, instance: ExecutorInstance) -> None:
         """Note that a task suspected of crashing executors is about to start on another one."""
-        self._set_blame(task, life, Blame.ON_TRIAL)
-        self._noted.setdefault(life, set()).add(task)
+        self._set_blame(task, instance, Blame.ON_TRIAL)
+        self._noted.setdefault(instance, set()).add(task)
 
-    def end_trial(self, task: TaskKey, life: Life) -> None:
+    def end_trial(self, task: TaskKey, instance: ExecutorInstance) -> None:
         """Note that a suspected task has ended or keeps running without crashing its executor."""
         state = self._find_task(task)
-        if state is not None and state.crashes.get(life) is Blame.ON_TRIAL:
-            self._set_blame(task, life, None)
-            self._noted.get(life, set()).discard(task)
+        if state is not None and state.crashes.get(instance) is Blame.ON_TRIAL:
+            self._set_blame(task, instance, None)
+            self._noted.get(instance, set()).discard(task)
 
-    def note_silence(self, state: ExecutorState, now: float) -> None:
+    def record_unresponsive(self, state: ExecutorState, now: float) -> None:
         """Note that an executor no longer answers, with the attempts there."""
         state.silent_since = now
         state.listed_at_silence = state.listed
@@ -149,9 +149,9 @@
         )
         recently_started = list_recent_starts(self._list_active_runs(state))
         jobs = frozenset(run.task.job for run in recently_started)
-        self._failures.append(ExecutorFailure(now, state.life, state.executor.rack, jobs))
+        self._failures.append(ExecutorFailure(now, state.instance, state.executor.rack, jobs))
 
-    def note_down(self, state: ExecutorState) -> None:
+    def record_possible_crash(self, state: ExecutorState) -> None:
         """Note that an unresponsive executor may have crashed, until it reports again.
 
         To be called repeatedly while it is unresponsive, as starts then in flight may turn out
@@ -172,7 +172,7 @@
         state.has_refused = False
         state.at_silence = ()
         self._failures = deque(
-            (s for s in self._failures if s.life != state.life), maxlen=MAX_FAILURES
+            (s for s in self._failures if s.instance != state.instance), maxlen=MAX_FAILURES
         )
         self._note(state, {})
 
@@ -184,7 +184,7 @@
         if state.silent_since is None:
             # Another instance was found before this one was missed, so starts in flight never
             # began.
-            self.note_silence(state, now)
+            self.record_unresponsive(state, now)
             state.at_silence = tuple(
                 (attempt, age_s) for attempt, age_s in state.at_silence if not attempt.is_on_its_way
             )
@@ -214,23 +214,23 @@
         return [
             failure
             for failure in self._failures
-            if failure.life != state.life
+            if failure.instance != state.instance
             and abs(failure.at - at) <= CONCURRENT_S
             and jobs.isdisjoint(failure.recently_started_jobs)
         ]
 
     def _note(self, state: ExecutorState, blame_by_task: dict[TaskKey, Blame]) -> None:
         """Replace the tasks blamed for an executor's crash."""
-        known = self._noted.pop(state.life, set())
+        known = self._noted.pop(state.instance, set())
         for key in known | blame_by_task.keys():
-            self._set_blame(key, state.life, blame_by_task.get(key))
+            self._set_blame(key, state.instance, blame_by_task.get(key))
         if blame_by_task:
-            self._noted[state.life] = set(blame_by_task)
+            self._noted[state.instance] = set(blame_by_task)
 
-    def _set_blame(self, key: TaskKey, life: Life, blame: Blame | None) -> None:
+    def _set_blame(self, key: TaskKey, instance: ExecutorInstance, blame: Blame | None) -> None:
         task = self._find_task(key)
-        if task is not None and task.crashes.get(life) != blame:
-            task.note_crash(life, blame)
+        if task is not None and task.crashes.get(instance) != blame:
+            task.note_crash(instance, blame)
             self._on_change(key)
 
     def _list_active_runs(self, state: ExecutorState) -> list[ActiveRun]:
@@ -245,7 +245,7 @@
                 attempt.has_begun,
             )
             for attempt, age_s in state.at_silence
-            if attempt.life == state.life and _may_have_begun(attempt)
+            if attempt.instance == state.instance and _may_have_begun(attempt)
         ]
 
     def _has_outlived_start(self, attempt: Attempt) -> bool:
@@ -257,14 +257,14 @@
         runs = {run.task: run for run in self._list_active_runs(state)}
         log_event(
             "executor.crashed",
-            **describe_life(state.life),
+            **describe_instance(state.instance),
             runs=len(runs),
             silent_s=round(now - (state.silent_since or now), 3),
             beside=len(self._list_concurrent_failures(state)),
             leaves=state.leaves_at is not None,
             listed=state.listed_at_silence,
             blamed=[
-                describe_run(task, runs[task].run, state.life)
+                describe_run(task, runs[task].run, state.instance)
                 | {"age_s": round(runs[task].age_s, 3), "blame": blame.value}
                 for task, blame in blame_by_task.items()
                 if task in runs
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/directory.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/directory.py
@@ -12,7 +12,7 @@
 import trio
 
 from .entries import BadEntry, DirectoryFormat, EntryFault
-from .events import RepeatedEvents, describe_life, log_event
+from .events import RepeatedEvents, describe_instance, log_event
 from .fleet import ExecutorState, make_executor
 from .keystore import Gone, Item, Listing
 from .listings import Listings
@@ -154,7 +154,7 @@
         self._cell.stop_late_starts(state)
         log_event(
             "executor.found",
-            **describe_life(executor.life),
+            **describe_instance(executor.instance),
             pool=executor.pool,
             rack=executor.rack,
             accelerators=executor.capacity.accelerators,
@@ -162,13 +162,13 @@
         self._begin(state)
 
     def _await_later_life(self, state: ExecutorState, executor: Executor) -> None:
-        """Stop new work for a life whose entry names a later one, and probe the later one.
+        """Stop new work for an instance whose entry names a later one, and probe the later one.
 
-        Runs end only once the later life answers, as anybody may have written the entry.
+        Runs end only once the later instance answers, as anybody may have written the entry.
         """
         state.listed = state.was_listed = True
         state.is_set_aside = False
-        # Each entry triggers one probe: the later life may not answer the first one yet.
+        # Each entry triggers one probe: the later instance may not answer the first one yet.
         state.announced = executor
         state.wake.set()
 
@@ -176,22 +176,24 @@
         if executor.capacity != state.executor.capacity:
             log_event(
                 "executor.resized",
-                **describe_life(state.life),
+                **describe_instance(state.instance),
                 before=list(state.executor.capacity),
                 now=list(executor.capacity),
                 used=list(state.executor.capacity.minus(state.free)),
             )
-        is_other = state.life.born not in (0, executor.born)
+        is_other = state.instance.born not in (0, executor.born)
         state.is_said_anew |= is_other and state.is_inherited and not state.heard
         state.describe(executor)
         state.evacuated = self._cell.is_evacuated(state)
         if executor.leaves_in_s is None and state.leaves_at is not None:
             state.leaves_at = None
-            log_event("executor.stays", **describe_life(state.life))
+            log_event("executor.stays", **describe_instance(state.instance))
         if executor.leaves_in_s is not None and state.leaves_at is None:
             state.leaves_at = now + executor.leaves_in_s
             log_event(
-                "executor.draining", **describe_life(state.life), leaves_in_s=executor.leaves_in_s
+                "executor.draining",
+                **describe_instance(state.instance),
+                leaves_in_s=executor.leaves_in_s,
             )
 
     def _quarantine(self, executor_id: str, bad: BadEntry) -> None:
@@ -236,24 +238,24 @@
 
 
 def _names_another_life(state: ExecutorState, executor: Executor) -> bool:
-    """Whether an entry names another life than the one that reports under the id.
+    """Whether an entry names another instance than the one that reports under the id.
 
-    False if no life has reported yet, or if its reports lack a start time to compare.
+    False if no instance has reported yet, or if its reports lack a start time to compare.
     """
-    return state.heard and state.life.born != 0 and executor.born != state.life.born
+    return state.heard and state.instance.born != 0 and executor.born != state.instance.born
 
 
 def _check_life(state: ExecutorState, executor: Executor) -> Executor | BadEntry:
-    """Return the executor if its life is later than the one that reports, else the fault."""
+    """Return the executor if its instance is later than the one that reports, else the fault."""
     if not executor.born:
         return BadEntry(EntryFault.MISSING_FIELD, "born")
-    if executor.born < state.life.born:
+    if executor.born < state.instance.born:
         return BadEntry(EntryFault.EARLIER_LIFE, str(executor.born))
     return executor
 
 
 def _differs_only_in_address(state: ExecutorState, executor: Executor) -> bool:
-    """Whether an entry names the life that reports and differs only in its address.
+    """Whether an entry names the instance that reports and differs only in its address.
 
     False without a start time, as another executor could answer at that address.
     """
@@ -266,8 +268,9 @@
 def _check_location(state: ExecutorState, executor: Executor) -> Executor | BadEntry:
     """Return the executor, or a fault if its address, pool or failure domain has changed.
 
-    These never change within one life. At a wrong address another executor would answer, and runs
-    that still go on would count as ended. An address inherited from an earlier owner may differ.
+    These never change within one instance. At a wrong address another executor would answer, and
+    runs that still go on would count as ended. An address inherited from an earlier owner may
+    differ.
     """
     known = state.executor
     if state.heard and executor.address != known.address:
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/doubts.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/doubts.py
@@ -51,7 +51,7 @@
 
 def is_sole_instance(state: ExecutorState) -> bool:
     """Return whether no other instance can have this id, and this one refuses earlier owners."""
-    return state.heard and not state.life.born
+    return state.heard and not state.instance.born
 
 
 def _is_unresponsive(state: ExecutorState) -> bool:
@@ -70,7 +70,7 @@
         # Where instances share an id, a new one may carry out a late start after this lease
         # expired.
         return deadlines.now < (
-            deadlines.unreported_runs_until if state.life.born else state.lapse_by
+            deadlines.unreported_runs_until if state.instance.born else state.lapse_by
         )
     if state.silent_since is None:
         return False
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/events.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/events.py
@@ -8,7 +8,7 @@
 import eliot
 import trio
 
-from .model import Life, TaskKey
+from .model import ExecutorInstance, TaskKey
 
 DEFAULT_PERIOD_S = 5.0
 MAX_KINDS = 1_000
@@ -19,7 +19,7 @@
     eliot.log_message(kind, **fields)
 
 
-def describe_run(task: TaskKey, run: int, life: Life) -> dict[str, Any]:
+def describe_run(task: TaskKey, run: int, instance: ExecutorInstance) -> dict[str, Any]:
     """Return the fields of a log line that name one run of a task."""
     return {
         "job": task.job,
@@ -27,13 +27,13 @@
         "index": task.member,
         "occurrence": task.occurrence,
         "run": run,
-        **describe_life(life),
+        **describe_instance(instance),
     }
 
 
-def describe_life(life: Life) -> dict[str, Any]:
-    """Return the fields of a log line that name one life of an executor."""
-    return {"executor": life.id, "born": life.born}
+def describe_instance(instance: ExecutorInstance) -> dict[str, Any]:
+    """Return the fields of a log line that name one instance of an executor."""
+    return {"executor": instance.id, "born": instance.born}
 
 
 @dataclass(slots=True)
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/executor_link.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/executor_link.py
@@ -85,7 +85,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndedRun:
-    """A run that ended; `number` increases over an executor's life."""
+    """A run that ended; `number` increases over an executor's instance."""
 
     number: int
     task: TaskKey
@@ -98,7 +98,7 @@
 class Report:
     """The running and ended runs of an executor at `clock_ms` on its own clock.
 
-    Unless `is_complete`, there are more ended runs than listed. `born` identifies the life.
+    Unless `is_complete`, there are more ended runs than listed. `born` identifies the instance.
     """
 
     clock_ms: int
@@ -127,7 +127,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OtherLife:
-    """The addressed life of the executor has ended, and none of its runs remain."""
+    """The addressed instance of the executor has ended, and none of its runs remain."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/fleet.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/fleet.py
@@ -7,7 +7,7 @@
 
 import trio
 
-from .model import NOTHING, Executor, Life, Resources, TaskKey
+from .model import NO_RESOURCES, Executor, ExecutorInstance, Resources, TaskKey
 from .progress import Attempt, Phase
 
 CLOCK_DRIFT = 0.03
@@ -71,7 +71,7 @@
     executor: Executor
     attempts: dict[TaskKey, Attempt] = field(default_factory=dict)
     strays: dict[tuple[TaskKey, int], Attempt] = field(default_factory=dict)
-    free: Resources = NOTHING
+    free: Resources = NO_RESOURCES
     clock: tuple[float, float, int] | None = None
     lapse_by: float = float("-inf")
     noted: int = 0
@@ -118,9 +118,9 @@
         return self.executor.id
 
     @property
-    def life(self) -> Life:
+    def instance(self) -> ExecutorInstance:
         """The identity of this instance."""
-        return self.executor.life
+        return self.executor.instance
 
     def accepts_work(self, now: float) -> bool:
         """Return whether new runs may be started here."""
@@ -191,7 +191,7 @@
             return
         self.free = self.free.plus(attempt.need)
 
-    def room_soon(self) -> Resources:
+    def projected_free(self) -> Resources:
         """Return the resources that are free once all stopping attempts have ended."""
         soon = self.free
         for attempt in self.list_held():
@@ -201,7 +201,7 @@
 
     def describe(self, executor: Executor) -> None:
         """Apply a valid entry of this instance."""
-        used = NOTHING
+        used = NO_RESOURCES
         for attempt in self.list_held():
             used = used.plus(attempt.need)
         self.executor = executor
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/gangs.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/gangs.py
@@ -6,10 +6,10 @@
 
 from .crashes import has_recent_start
 from .model import URGENT, Resources
+from .offers import Offer, Scope, count_fits, count_free_now, group_by_rack
 from .plan import Candidate
 from .policy import Policy
 from .progress import StepState, TaskState
-from .room import Offer, Scope, count_fits, count_free_now, group_by_rack
 
 SPREAD_WAIT_S = 1.5
 MAX_RESERVATIONS = 2
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/headroom.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/headroom.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from .room import Offer, group_by_rack, weigh_millicores
+from .offers import Offer, group_by_rack, weigh_millicores
 
 HEADROOM_SHARE = 0.4
 BUSY_SHARE = 0.6
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/host.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/host.py
@@ -227,7 +227,7 @@
             lambda: self.store.is_answering or self.relay.is_open,
             self.relay,
             self.evacuations,
-            self.stands,
+            self.stalls,
         )
 
     async def _own(self, owner: Owner) -> None:
@@ -286,9 +286,9 @@
             gauges["term"] = self.owner.cell.term.number
             gauges["jobs_active"] = len(self.owner.cell.active)
             gauges["tasks_suspected"] = self.owner.cell.count_suspects()
-            gauges["term_age_s"] = self.owner.waits.term_age_s
-            gauges["jobs_standing"] = len(self.owner.waits.standing)
-            gauges["longest_stand_s"] = self.owner.waits.longest_s
+            gauges["term_age_s"] = self.owner.stall_monitor.term_age_s
+            gauges["jobs_standing"] = len(self.owner.stall_monitor.stalled_jobs)
+            gauges["longest_stand_s"] = self.owner.stall_monitor.longest_stall_s
             gauges["executors"] = len(self.owner.cell.executors)
             gauges["entries_set_aside"] = self.owner.directory.invalid_count
         for call, count in self.store.calls.items():
@@ -366,7 +366,7 @@
         job = owner.cell.jobs.get(body["job"])
         if job is None:
             return 410, {"reason": "there is no such job"}
-        return OK, describe_job(job, owner.waits.find_stand(job.spec.id))
+        return OK, describe_job(job, owner.stall_monitor.find_stall(job.spec.id))
 
     async def _handle_intake(
         self, operation: int, body: dict[str, Any]
@@ -398,4 +398,4 @@
 
 def _encode_view(view: JobView) -> dict[str, Any]:
     body = {"status": view.status.value, "tenant": view.tenant, "queue": view.queue}
-    return body if view.stand is None else {**body, "stand": view.stand.encode()}
+    return body if view.stall is None else {**body, "stand": view.stall.encode()}
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/host_state.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/host_state.py
@@ -22,7 +22,7 @@
 from .peering import CALL_S, MalformedReply, PeerReply, call_peer
 from .policy import DEFAULT_POLICY, Policy
 from .record import MALFORMED
-from .stands import KnownStands
+from .stalls import StallHistory
 from .statistics import Statistics
 from .tenure import Presence, Strength, Tenure
 
@@ -69,7 +69,7 @@
         self.owner: Owner | None = None
         self.known_owner: Presence | None = None
         self.statistics = Statistics()
-        self.stands = KnownStands()
+        self.stalls = StallHistory()
         self._malformed = RepeatedEvents()
         self._nursery: trio.Nursery | None = None
 
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/housekeeping.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/housekeeping.py
@@ -6,10 +6,17 @@
 
 from .events import log_event
 from .fleet import ExecutorState
+from .offers import count_fits
 from .owned import OwnedCell
 from .progress import Attempt, JobState, Phase, StepState
-from .room import count_fits
-from .speed import SLOW_FOR_S, is_whole, remaining_s, restarted_s, should_move, usual_ratio
+from .speed import (
+    SLOW_FOR_S,
+    compute_typical_ratio,
+    estimate_remaining_s,
+    estimate_restart_s,
+    is_whole,
+    should_move,
+)
 
 HOUSEKEEPING_S = 0.4
 STALL_S = 3.2
@@ -94,10 +101,10 @@
         task = job.task(attempt.task)
         if task is None or step.spec.lasting or step.rescues >= MAX_RESTARTS:
             return
-        usual = usual_ratio(step, self.cell.parts.policy)
+        usual = compute_typical_ratio(step, self.cell.parts.policy)
         if not should_move(step, task, attempt, state, usual, now):
             return
-        left, anew = remaining_s(step, attempt), restarted_s(step, attempt, usual)
+        left, anew = estimate_remaining_s(step, attempt), estimate_restart_s(step, attempt, usual)
         if left < MIN_RESTART_GAIN * anew + 2 * self.cell.parts.timing.stop_s:
             return
         members = len(step.tasks) if step.spec.gang else 1
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/late_starts.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/late_starts.py
@@ -14,7 +14,7 @@
 import trio
 
 from .fleet import ExecutorState
-from .model import Life, OpenStart, TaskKey
+from .model import ExecutorInstance, TaskKey, UnresolvedStart
 from .progress import Attempt
 
 MAX_ORDER_DELAY_S = 12.0
@@ -53,12 +53,12 @@
 
     def __init__(self) -> None:
         self._until: dict[str, dict[LateStart, float]] = defaultdict(dict)
-        self._refused_runs: dict[str, tuple[Life, dict[TaskKey, int]]] = {}
+        self._refused_runs: dict[str, tuple[ExecutorInstance, dict[TaskKey, int]]] = {}
         self._refused_at: dict[TaskKey, float] = {}
 
     def track(self, attempt: Attempt) -> float:
         """Track a send of an attempt's start; return the previous expiry time."""
-        if not attempt.life.born:
+        if not attempt.instance.born:
             # No other instance can receive it, so there is nothing to wait for.
             return 0.0
         self.list_open(attempt.executor)
@@ -79,18 +79,18 @@
         else:
             known.pop(start, None)
 
-    def mark_refused(self, life: Life, task: TaskKey, run: int) -> None:
+    def mark_refused(self, instance: ExecutorInstance, task: TaskKey, run: int) -> None:
         """Record that an instance refuses the runs of a task up to a number.
 
         Kept only for tasks with an unresolved start at this executor.
         """
-        if not any(start.task == task for start in self.list_open(life.id)):
+        if not any(start.task == task for start in self.list_open(instance.id)):
             return
-        known_life, floors = self._refused_runs.get(life.id, (life, {}))
-        if known_life != life:
+        known_life, floors = self._refused_runs.get(instance.id, (instance, {}))
+        if known_life != instance:
             floors = {}
         floors[task] = max(run, floors.get(task, 0))
-        self._refused_runs[life.id] = (life, floors)
+        self._refused_runs[instance.id] = (instance, floors)
 
     def note_start_refused(self, task: TaskKey) -> None:
         """Record that an executor refused a task just now, so that it is not retried at once."""
@@ -131,8 +131,8 @@
             return False
         if start.is_inherited:
             return True
-        life, floors = self._refused_runs.get(state.id, (state.life, {}))
-        return life == state.life and start.run <= floors.get(start.task, 0)
+        instance, floors = self._refused_runs.get(state.id, (state.instance, {}))
+        return instance == state.instance and start.run <= floors.get(start.task, 0)
 
     def find_deadline(self, task: TaskKey) -> float:
         """Return until when a start of a task may be carried out, 0.0 if there is none."""
@@ -150,11 +150,13 @@
         until = self._until.get(attempt.executor, {}).get(start, 0.0)
         return trio.current_time() < until
 
-    def list_open_of_job(self, job: str) -> tuple[frozenset[OpenStart], float]:
+    def list_open_of_job(self, job: str) -> tuple[frozenset[UnresolvedStart], float]:
         """Return the unresolved starts of a job, and for how long (s) they may be carried out."""
         now = trio.current_time()
         found = {
-            OpenStart(executor, start.task.step, start.task.member, start.task.occurrence): until
+            UnresolvedStart(
+                executor, start.task.step, start.task.member, start.task.occurrence
+            ): until
             for executor, starts in self._until.items()
             for start, until in starts.items()
             if start.task.job == job and until > now
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/listings.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/listings.py
@@ -84,4 +84,4 @@
 
 
 def _describe(held: Iterable[Attempt]) -> list[dict[str, Any]]:
-    return [describe_run(attempt.task, attempt.run, attempt.life) for attempt in held]
+    return [describe_run(attempt.task, attempt.run, attempt.instance) for attempt in held]
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/lives.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/lives.py
@@ -95,14 +95,14 @@
 def _move(cell: OwnedCell, attempt: Attempt, old: ExecutorState, new: ExecutorState) -> None:
     is_stray = old.strays.get((attempt.task, attempt.run)) is attempt
     old.release(attempt)
-    attempt.life = new.life
+    attempt.instance = new.instance
     task = cell.find_task(attempt.task)
     if is_stray:
         new.occupy_astray(attempt)
         return
     new.occupy(attempt)
     if task is not None and task.crashes:
-        cell.crashes.begin_trial(attempt.task, new.life)
+        cell.crashes.begin_trial(attempt.task, new.instance)
 
 
 def _request_stop_again(cell: OwnedCell, attempt: Attempt) -> None:
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/losses.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/losses.py
@@ -5,10 +5,10 @@
 from collections.abc import Container, Iterable
 from dataclasses import dataclass
 
-from .model import NOTHING, URGENT, DesiredState, Resources
+from .colocation import is_within_disruption_budget
+from .model import NO_RESOURCES, URGENT, DesiredState, Resources
+from .offers import Offer
 from .progress import Attempt, JobState, Phase
-from .room import Offer
-from .sharing import is_within_disruption_budget
 
 URGENT_LOSS_FACTOR = 6.0
 URGENT_MIN_LOSS_CORE_S = 10.0
@@ -52,7 +52,7 @@
     def find_option(self, need: Resources, projected: Resources) -> tuple[float, list[Loss]] | None:
         """Return the cost and the attempts to stop until a task fits, None if it never does."""
         lacking = need.minus(projected)
-        if lacking.fits_in(NOTHING):
+        if lacking.fits_in(NO_RESOURCES):
             return 0.0, []
         for index, freed in enumerate(self.freed):
             if lacking.fits_in(freed):
@@ -136,7 +136,7 @@
         losses: list[Loss] = []
         costs: list[float] = []
         freed: list[Resources] = []
-        cost, executor_freed, total = 0.0, NOTHING, NOTHING
+        cost, executor_freed, total = 0.0, NO_RESOURCES, NO_RESOURCES
         has_lasting = False
         evicted: set[int] = set()
         ending = self.find_ending_soon(offer) if waits_for_ends else frozenset()
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/model.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/model.py
@@ -38,7 +38,7 @@
 _make = tuple.__new__
 """Bypasses the named tuple's slower constructor, as a plan creates tens of thousands of tuples."""
 
-NOTHING = Resources()
+NO_RESOURCES = Resources()
 
 
 class TaskKey(NamedTuple):
@@ -53,7 +53,7 @@
     occurrence: int = 0
 
 
-class OpenStart(NamedTuple):
+class UnresolvedStart(NamedTuple):
     """A start of a job's task that may be unanswered, with the executor's id."""
 
     executor: str
@@ -239,7 +239,7 @@
         return None
 
 
-class Life(NamedTuple):
+class ExecutorInstance(NamedTuple):
     """Identifies one run of an executor process: its id and its start time (Unix ms).
 
     A restarted executor may reuse its id. `born` is 0 where it is unknown, such as in records of
@@ -269,9 +269,9 @@
     born: int = 0
 
     @property
-    def life(self) -> Life:
+    def instance(self) -> ExecutorInstance:
         """The identifier of this instance among all instances of the same id."""
-        return Life(self.id, self.born)
+        return ExecutorInstance(self.id, self.born)
 
     @property
     def is_draining(self) -> bool:
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/room.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/offers.py
@@ -11,7 +11,7 @@
 from typing import TypeVar, cast
 
 from .fleet import ExecutorState
-from .model import ACCELERATOR_IN_CORES, NOTHING, Resources, StepSpec
+from .model import ACCELERATOR_IN_CORES, NO_RESOURCES, Resources, StepSpec
 
 Computed = TypeVar("Computed")
 
@@ -54,7 +54,7 @@
     number: int = 0
     changes: ChangeCounter = field(default_factory=ChangeCounter)
     stops: int = 0
-    reserved: Resources = NOTHING
+    reserved: Resources = NO_RESOURCES
 
     def allocate(self, need: Resources) -> None:
         """Allocate resources for one task."""
@@ -189,7 +189,7 @@
         rack = racks.get(executor.rack)
         if rack is None:
             rack = racks[executor.rack] = ChangeCounter(pool_changes)
-        offers.append(Offer(state, state.free, state.room_soon(), number, rack))
+        offers.append(Offer(state, state.free, state.projected_free(), number, rack))
     return {name: offers for name, (_, _, offers) in pools.items()}
 
 
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/orders.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/orders.py
@@ -8,7 +8,7 @@
 from heronthread_coordination import Measure
 
 from .contact import wait_answered
-from .crashes import YOUNG_S
+from .crashes import RECENT_START_S
 from .events import describe_run, log_event
 from .executor_link import (
     Obeyed,
@@ -70,11 +70,11 @@
         orders: list[tuple[Start, Attempt]] = []
         for start in group:
             key = start.job.key_of(start.step, start.task)
-            attempt = Attempt(key, run, start.executor.life, start.step.spec.need, now)
+            attempt = Attempt(key, run, start.executor.instance, start.step.spec.need, now)
             attempt.moved_at = now
             if start.step.has_suspects:
                 # Other tasks started there now would be suspected as well if it crashes.
-                start.executor.exclusive_until = now + YOUNG_S
+                start.executor.exclusive_until = now + RECENT_START_S
             self.cell.place(start.task, attempt, start.executor)
             orders.append((start, attempt))
         self._nursery.start_soon(self._send_when_named, orders, checkpoint)
@@ -131,7 +131,7 @@
         """
         job = orders[0][0].job
         wanted = job.locate_attempts(attempt for _, attempt in orders)
-        starts = {to_open_start(attempt) for _, attempt in orders if attempt.life.born}
+        starts = {to_open_start(attempt) for _, attempt in orders if attempt.instance.born}
         is_recorded = job.places.covers(wanted) and job.places.covers_starts(starts)
         if is_recorded and not job.places.inherited:
             return True
@@ -172,7 +172,8 @@
                 checkpoint,
                 self.cell.term.number,
                 until,
-                self.cell.approvals.find_ticket(attempt.task._replace(member=0), state.life) or "",
+                self.cell.approvals.find_ticket(attempt.task._replace(member=0), state.instance)
+                or "",
             )
             attempt.sends += 1
             attempt.sent_at = now
@@ -221,7 +222,7 @@
 
         The next owner would otherwise miss a crash if this owner is gone before it can record it.
         """
-        self.cell.crashes.begin_trial(attempt.task, attempt.life)
+        self.cell.crashes.begin_trial(attempt.task, attempt.instance)
         with trio.move_on_after(TRIAL_RECORD_TIMEOUT_S):
             await self.cell.recorder.wait_recorded()
         if start.job.crash_notes_recorded == start.job.crash_notes:
@@ -255,7 +256,7 @@
                 attempt.phase = Phase.RUNNING
                 attempt.settled_at = now
                 attempt.moved_at = now
-            if attempt.life.born and not list_pending_starts(start.job):
+            if attempt.instance.born and not list_pending_starts(start.job):
                 # The next owner would otherwise restrict the tasks to the executors of these
                 # starts.
                 self.cell.recorder.mark(start.job)
@@ -266,7 +267,7 @@
         is_over = isinstance(outcome, Refused) and outcome.reason is Refusal.OLD_RUN
         log_event(
             "start.refused",
-            **describe_run(attempt.task, attempt.run, attempt.life),
+            **describe_run(attempt.task, attempt.run, attempt.instance),
             reason=reason,
             sends=attempt.sends,
             unanswered=attempt.unanswered,
@@ -281,7 +282,7 @@
             # No send can have an effect any more. The run may have ended already, which the next
             # report shows.
             attempt.settled_at = now
-            self.cell.late_starts.mark_refused(attempt.life, attempt.task, attempt.run)
+            self.cell.late_starts.mark_refused(attempt.instance, attempt.task, attempt.run)
             state.wake.set()
         else:
             self._give_up(attempt, f"refused: {reason}")
@@ -295,7 +296,7 @@
         elif isinstance(outcome, OtherLife):
             state.mark_ended()
         elif isinstance(outcome, Refused) and outcome.reason is Refusal.NOT_APPROVED:
-            self.cell.approvals.drop(attempt.task._replace(member=0), state.life)
+            self.cell.approvals.discard_ticket(attempt.task._replace(member=0), state.instance)
         else:
             state.rest_until = max(state.rest_until, now + REFUSAL_BACKOFF_S)
 
@@ -308,7 +309,7 @@
             for attempt, reason in wanted:
                 log_event(
                     "stop.decided",
-                    **describe_run(attempt.task, attempt.run, attempt.life),
+                    **describe_run(attempt.task, attempt.run, attempt.instance),
                     percent=attempt.percent,
                     reason=reason,
                     term=self.cell.term.number,
@@ -339,7 +340,7 @@
             return
         log_event(
             "order.sent",
-            **describe_run(attempt.task, attempt.run, attempt.life),
+            **describe_run(attempt.task, attempt.run, attempt.instance),
             order=order,
             send=number,
             outcome=_describe_outcome(outcome),
@@ -351,7 +352,7 @@
     def _settle_stop(self, attempt: Attempt, state: ExecutorState, outcome: OrderOutcome) -> bool:
         if isinstance(outcome, Obeyed):
             attempt.settled_at = trio.current_time()
-            self.cell.late_starts.mark_refused(attempt.life, attempt.task, attempt.run)
+            self.cell.late_starts.mark_refused(attempt.instance, attempt.task, attempt.run)
             state.wake.set()
             if not attempt.seen:
                 state.stop_settled.set()
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/overview.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/overview.py
@@ -11,7 +11,7 @@
 from .model import URGENT, DesiredState
 from .owned import OwnedCell
 from .progress import JobState
-from .stands import JobStand
+from .stalls import JobStall
 
 
 def describe_cell(cell: OwnedCell, desired: DesiredState, host: str) -> dict[str, Any]:
@@ -51,7 +51,7 @@
         rows.append(
             {
                 "executor": state.id,
-                "born": state.life.born,
+                "born": state.instance.born,
                 "rack": state.executor.rack,
                 "runs": len(state.attempts),
                 "free accelerators": state.free.accelerators,
@@ -100,7 +100,7 @@
     )
 
 
-def describe_job(job: JobState, stand: JobStand | None = None) -> dict[str, Any]:
+def describe_job(job: JobState, stand: JobStall | None = None) -> dict[str, Any]:
     """Return a job's tasks with their executors, progress and failures.
 
     `stand` says why nothing of the job runs, None if it is not known to be stalled.
@@ -120,7 +120,7 @@
                     "percent": attempt.percent if attempt else 0,
                     "failed runs": len(task.failed_runs),
                     "crashed": ", ".join(
-                        f"{life.id} ({why})" for life, why in task.crashes.items()
+                        f"{instance.id} ({why})" for instance, why in task.crashes.items()
                     ),
                 }
             )
@@ -145,7 +145,7 @@
     return ""
 
 
-def _describe_stand(stand: JobStand | None) -> str:
+def _describe_stand(stand: JobStall | None) -> str:
     if stand is None:
         return ""
     return f"nothing of it has run for {stand.for_s:.1f} s: {stand.cause}"
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/owned.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/owned.py
@@ -19,7 +19,7 @@
 from .fleet import MAX_BACKOFF_S, ExecutorState
 from .keystore import KeyStore
 from .late_starts import MAX_ORDER_DELAY_S, LateStarts
-from .model import NOTHING, DesiredState, OpenStart, TaskKey
+from .model import NO_RESOURCES, DesiredState, TaskKey, UnresolvedStart
 from .policy import DEFAULT_POLICY, Policy
 from .progress import (
     UNSETTLED,
@@ -34,7 +34,7 @@
 from .record import JobRecord, round_remaining_s
 from .recorder import Recorder
 from .relay import StoreRelay
-from .stands import KnownStands
+from .stalls import StallHistory
 from .statistics import Statistics
 from .task_names import Names, keep, unite
 from .tenure import Term
@@ -116,7 +116,7 @@
     is_naming: Callable[[], bool] = lambda: True
     relay: StoreRelay | None = None
     evacuations: Evacuations = field(default_factory=Evacuations)
-    stands: KnownStands = field(default_factory=KnownStands)
+    stalls: StallHistory = field(default_factory=StallHistory)
     random: random.Random = field(default_factory=random.Random)
 
 
@@ -199,7 +199,7 @@
         )
 
     def restore_starts(
-        self, job: JobState, starts: Collection[OpenStart], left_s: float | None
+        self, job: JobState, starts: Collection[UnresolvedStart], left_s: float | None
     ) -> None:
         """Restore the starts of a job that an earlier owner may have left without an answer.
 
@@ -243,7 +243,7 @@
         else:
             # The entry was removed before the lease ended. Without this the crash would not be
             # counted.
-            self.crashes.note_down(state)
+            self.crashes.record_possible_crash(state)
         self.fail_crashing_jobs_at(state)
 
     def fail_crashing_jobs_at(self, state: ExecutorState) -> None:
@@ -270,7 +270,7 @@
                     step=step.number,
                     index=task.index,
                     why="executors crashed under it",
-                    executors=[[*life, blame] for life, blame in task.crashes.items()],
+                    executors=[[*instance, blame] for instance, blame in task.crashes.items()],
                 )
                 self._end_attempts(job, "job failed")
                 self._settle(job)
@@ -358,7 +358,7 @@
     def _update_places(self, jobs: Collection[JobState]) -> None:
         """Update the placements that are to be recorded for the next owner of some jobs."""
         silent = self.list_silent_ids()
-        may_share_ids = any(state.life.born for state in self.executors.values())
+        may_share_ids = any(state.instance.born for state in self.executors.values())
         for job in jobs:
             job.places.drop_resolved(silent)
             late, left_s = self.late_starts.list_open_of_job(job.spec.id)
@@ -368,7 +368,7 @@
                 job.places.starts = late | under_way
                 job.places.starts_left_s = None if under_way else round_remaining_s(left_s)
 
-    def _find_late(self, job: JobState, starts: Collection[OpenStart]) -> Names:
+    def _find_late(self, job: JobState, starts: Collection[UnresolvedStart]) -> Names:
         """Return where starts of a job may still be carried out late, or orphaned runs of it exist.
 
         Entries of earlier owners are dropped where their orders can have no effect any more.
@@ -445,10 +445,10 @@
             task.attempt = None
             job = self.jobs[attempt.task.job]
             job.places.add_left(attempt.executor, job.mask_of(attempt.task))
-        self.crashes.end_trial(attempt.task, attempt.life)
+        self.crashes.end_trial(attempt.task, attempt.instance)
         log_event(
             "attempt.closed",
-            **describe_run(attempt.task, attempt.run, attempt.life),
+            **describe_run(attempt.task, attempt.run, attempt.instance),
             percent=attempt.percent,
             best_rate=round(attempt.best_rate, 2),
             phase=attempt.phase.value,
@@ -480,10 +480,12 @@
             return
         job = self.jobs.get(task.job)
         known = job is not None and job.task(task) is not None
-        need = job.step_of(task).spec.need if job is not None and known else NOTHING
-        attempt = Attempt(task, run, state.life, need, trio.current_time(), Phase.RUNNING)
+        need = job.step_of(task).spec.need if job is not None and known else NO_RESOURCES
+        attempt = Attempt(task, run, state.instance, need, trio.current_time(), Phase.RUNNING)
         state.occupy_astray(attempt)
-        log_event("run.stale" if known else "run.unknown", **describe_run(task, run, state.life))
+        log_event(
+            "run.stale" if known else "run.unknown", **describe_run(task, run, state.instance)
+        )
         self.request_stop(attempt, "not its task's attempt")
 
     def stop_late_starts(self, state: ExecutorState) -> None:
@@ -527,11 +529,11 @@
         if stray is not None:
             self.close(stray, end.kind.value)
         if job is None or task is None:
-            run = describe_run(end.task, end.run, state.life)
+            run = describe_run(end.task, end.run, state.instance)
             log_event("end.unknown", **run, why=end.kind.value)
             return
         task.last_run = max(task.last_run, end.run)
-        self.late_starts.mark_refused(state.life, end.task, end.run)
+        self.late_starts.mark_refused(state.instance, end.task, end.run)
         attempt = task.attempt
         is_current = attempt is not None and attempt.run == end.run
         if is_current and attempt is not None:
@@ -552,7 +554,7 @@
 
     def _log_unowned_end(self, state: ExecutorState, end: EndedRun) -> None:
         """Log the end of a run that has no attempt in this term, as after a takeover."""
-        run = describe_run(end.task, end.run, state.life)
+        run = describe_run(end.task, end.run, state.instance)
         log_event("attempt.ended", **run, why=end.kind.value)
 
     def _note_done(
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/owner.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/owner.py
@@ -11,7 +11,7 @@
 
 from .directory import Directory
 from .domains import tell_of_limits
-from .events import describe_life, log_event
+from .events import describe_instance, log_event
 from .fleet import ExecutorState
 from .follow import Follower
 from .housekeeping import Housekeeping
@@ -19,10 +19,10 @@
 from .model import JobSpec
 from .orders import Orders
 from .owned import JOB_PREFIX, OwnedCell, OwnerParts
-from .peaks import RecentPeaks
 from .plan import Plan
 from .planner import Planner
 from .progress import JobState
+from .recent_peaks import RecentPeaks
 from .record import (
     JobRecord,
     JobStatus,
@@ -34,10 +34,10 @@
 from .retention import remove_old_jobs
 from .sizes import Kind, find_misfit
 from .spares import Spares
-from .stands import JobStand
+from .stall_monitor import StallMonitor, describe_unresponsive
+from .stalls import JobStall
 from .tenure import Term
 from .used import USED_KEY, UsedExecutors
-from .waiting import WaitWatch, describe_silences
 from .watching import ExecutorWatch
 
 PAUSE_S = 0.15
@@ -59,12 +59,12 @@
 
 @dataclass(frozen=True, slots=True)
 class JobView:
-    """The public view of a job; `stand` is the reason why it is delayed, None if unknown."""
+    """The public view of a job; `stall` is the reason why it is delayed, None if unknown."""
 
     status: JobStatus
     tenant: str
     queue: str
-    stand: JobStand | None = None
+    stall: JobStall | None = None
 
 
 class Owner:
@@ -80,7 +80,7 @@
         self._urgent_demand = RecentPeaks(URGENT_WINDOW_S)
         self._set_aside: set[str] = set()
         self._used_executors = UsedExecutors(self.cell, self.depose)
-        self.waits = WaitWatch(self.cell)
+        self.stall_monitor = StallMonitor(self.cell)
         self._names_written_at = trio.current_time()
         self._waits_logged_at = float("-inf")
         self.directory = Directory(self.cell, parts.directory, self._watch)
@@ -117,7 +117,7 @@
                 active=len(self.cell.active),
                 executors=len(self.cell.executors),
                 seconds=round(trio.current_time() - started, 3),
-                term_age_s=self.waits.term_age_s,
+                term_age_s=self.stall_monitor.term_age_s,
                 unlisted=self._describe_unlisted(),
             )
             await self._work(jobs, directory)
@@ -139,7 +139,7 @@
                 nursery.start_soon(Housekeeping(self.cell).run)
                 nursery.start_soon(remove_old_jobs, self.cell)
                 nursery.start_soon(self.cell.approvals.run)
-                nursery.start_soon(self.waits.run)
+                nursery.start_soon(self.stall_monitor.run)
                 nursery.start_soon(Spares(self.cell).run)
                 self.is_ready = True
                 nursery.start_soon(self._wait_for_earlier_runs)
@@ -182,7 +182,7 @@
     def _describe_unlisted(self) -> list[dict[str, Any]]:
         """Describe inherited executors that have no entry now."""
         states = (state for state in self.cell.silent() if not state.listed)
-        return describe_silences(states, trio.current_time())
+        return describe_unresponsive(states, trio.current_time())
 
     async def _list(self, prefix: str) -> Listing:
         while True:
@@ -234,7 +234,7 @@
             "owner.ready",
             term=self.cell.term.number,
             barrier_s=round(trio.current_time() - started, 3),
-            term_age_s=self.waits.term_age_s,
+            term_age_s=self.stall_monitor.term_age_s,
             waited_for=waited_for,
         )
 
@@ -248,10 +248,10 @@
         log_event(
             "owner.waits",
             term=self.cell.term.number,
-            term_age_s=self.waits.term_age_s,
+            term_age_s=self.stall_monitor.term_age_s,
             waited_s=round(waited_s, 3),
             silent=len(silent),
-            silences=describe_silences(silent, now),
+            silences=describe_unresponsive(silent, now),
         )
 
     def _drop_reported_names(self) -> None:
@@ -303,7 +303,9 @@
         for state in self.cell.silent():
             if not state.was_listed:
                 log_event(
-                    "executor.gone", **describe_life(state.life), entry_missing_s=ENTRY_BACK_S
+                    "executor.gone",
+                    **describe_instance(state.instance),
+                    entry_missing_s=ENTRY_BACK_S,
                 )
                 state.mark_ended()
 
@@ -352,8 +354,8 @@
         job = self.cell.jobs.get(job_id)
         if job is None or not self.is_ready:
             return None
-        stand = self.waits.find_stand(job_id)
-        return JobView(job.shown, job.spec.tenant, job.spec.queue.name, stand)
+        stall = self.stall_monitor.find_stall(job_id)
+        return JobView(job.shown, job.spec.tenant, job.spec.queue.name, stall)
 
     def check_fit(self, spec: JobSpec) -> tuple[str, list[Kind]]:
         """Return the reason why a job can never be placed, "" if it can, and the kinds of its pool.
@@ -414,16 +416,16 @@
             self.parts.is_naming(),
             self.cell.find_pins(),
         )
-        planner.explain = self.waits.list_unexplained()
+        planner.steps_to_explain = self.stall_monitor.take_explanation_requests()
         recheck = PLAN_EVERY_S
         while True:
             plan = planner.make(PLAN_BUDGET_S)
             self._urgent_demand.note(trio.current_time(), planner.urgent_demand())
             self._carry_out(plan)
-            if plan.recheck_in_s is not None:
-                recheck = min(recheck, max(0.02, plan.recheck_in_s))
+            if plan.replan_in_s is not None:
+                recheck = min(recheck, max(0.02, plan.replan_in_s))
             if planner.is_complete:
-                self.waits.note_plan(planner.causes, trio.current_time())
+                self.stall_monitor.record_plan(planner.causes, trio.current_time())
                 return recheck
             await trio.sleep(0)
             if not self.parts.may_send_orders():
@@ -435,8 +437,8 @@
             self.cell.request_stop(attempt, "taken back for urgent work")
         for group in plan.groups:
             self._orders.start_group(group)
-        for question in plan.questions:
-            self.cell.approvals.want(question)
+        for approval_request in plan.approval_requests:
+            self.cell.approvals.enqueue(approval_request)
 
 
 __all__ = ["JobView", "Owner", "progress_key"]
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/places.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/places.py
@@ -10,7 +10,7 @@
 from collections.abc import Collection, Mapping
 from dataclasses import dataclass, field
 
-from .model import OpenStart
+from .model import UnresolvedStart
 from .task_names import ANY, Names, find_mask, includes, intersect, keep, subtract, unite
 
 
@@ -44,17 +44,17 @@
     named: Names | None = None
     in_flight: Names | None = None
     lists_starts: bool = False
-    starts: frozenset[OpenStart] | None = None
+    starts: frozenset[UnresolvedStart] | None = None
     starts_left_s: float | None = None
     has_time_limit: bool = False
-    recorded_starts: frozenset[OpenStart] = frozenset()
+    recorded_starts: frozenset[UnresolvedStart] = frozenset()
     _left_in_flight: Names = field(default_factory=dict)
 
     def covers(self, wanted: Names) -> bool:
         """Return whether the store lists the executors for the tasks, even if a write fails."""
         return self.named is not None and includes(self.list_covered(), wanted)
 
-    def covers_starts(self, starts: Collection[OpenStart]) -> bool:
+    def covers_starts(self, starts: Collection[UnresolvedStart]) -> bool:
         """Return whether the store has these starts, even if a write fails.
 
         False if the store limits the time of its starts: a start that is sent now may be carried
@@ -80,7 +80,7 @@
     def end_write(
         self,
         names: Names | None,
-        starts: frozenset[OpenStart] | None = None,
+        starts: frozenset[UnresolvedStart] | None = None,
         starts_left_s: float | None = None,
     ) -> None:
         """Record that the store has the last write; earlier ones can't be applied any more."""
@@ -89,7 +89,9 @@
         self.recorded_starts = starts or frozenset()
         self.left = subtract(self.left, self._left_in_flight)
 
-    def restore(self, named: Names | None, starts: frozenset[OpenStart] | None = None) -> None:
+    def restore(
+        self, named: Names | None, starts: frozenset[UnresolvedStart] | None = None
+    ) -> None:
         """Restore what the store lists."""
         self.starts = starts
         self.lists_starts = starts is not None
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/plan.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/plan.py
@@ -4,11 +4,11 @@
 
 from dataclasses import dataclass, field
 
-from .approval import Question
+from .approval import ApprovalRequest
 from .fleet import ExecutorState
 from .model import Queue, TaskKey
-from .order import StepRank
 from .progress import Attempt, JobState, StepState, TaskState
+from .step_rank import StepRank
 
 
 @dataclass(frozen=True, slots=True)
@@ -27,8 +27,8 @@
 
     groups: list[list[Start]] = field(default_factory=list)
     stops: list[Attempt] = field(default_factory=list)
-    questions: list[Question] = field(default_factory=list)
-    recheck_in_s: float | None = None
+    approval_requests: list[ApprovalRequest] = field(default_factory=list)
+    replan_in_s: float | None = None
 
 
 @dataclass(slots=True, eq=False)
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/planner.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/planner.py
@@ -8,8 +8,13 @@
 
 import trio
 
-from .approval import DEFAULT_EXECUTORS_PER_REQUEST, MAX_EXECUTORS_PER_REQUEST, Approvals, Question
-from .causes import WaitCause
+from .approval import (
+    DEFAULT_EXECUTORS_PER_REQUEST,
+    MAX_EXECUTORS_PER_REQUEST,
+    ApprovalRequest,
+    Approvals,
+)
+from .colocation import Colocation
 from .crashes import has_recent_start, sum_work_at_risk
 from .fleet import ExecutorState, WorkRefusal
 from .gangs import SPREAD_WAIT_S, GangPlacer
@@ -18,14 +23,14 @@
 from .late_starts import NOWHERE
 from .losses import Losses
 from .model import URGENT, DesiredState, Queue, Resources, TaskKey
-from .order import rank_step
+from .offers import Offer, Scope, count_free, count_with_reserved, make_offers
 from .plan import Candidate, Plan, Start
 from .policy import DEFAULT_POLICY, Policy
 from .progress import Attempt, JobState, Phase, StepState, TaskState
-from .room import Offer, Scope, count_free, count_with_reserved, make_offers
-from .sharing import Colocation
+from .step_rank import rank_step
 from .task_names import find_executors
-from .victims import ENDS_SOON_S, VictimSelector
+from .victim_selection import ENDS_SOON_S, VictimSelector
+from .wait_causes import WaitCause
 
 REMOTE_WAIT_S = 1.2
 HEADROOM_WAIT_S = 1.5
@@ -41,8 +46,8 @@
     `may_run` returns whether a run of a task by an earlier owner may still exist; None if there
     can be no such run. `is_naming` is true if the store can record executors for jobs; otherwise a
     job starts only on executors already recorded for it. `pins` maps a task to the only executor
-    that may run it. `explain` lists steps by the keys of their first tasks; `causes` receives the
-    reason why each of them waits, once the plan has reached it.
+    that may run it. `steps_to_explain` lists steps by the keys of their first tasks; `causes`
+    receives the reason why each of them waits, once the plan has reached it.
     """
 
     def __init__(
@@ -66,7 +71,7 @@
         self._may_run = may_run
         self._is_naming = is_naming
         self._pins = pins or {}
-        self.explain: Collection[TaskKey] = ()
+        self.steps_to_explain: Collection[TaskKey] = ()
         self.causes: dict[TaskKey, WaitCause] = {}
         self._pinned_offers: dict[str, Offer] = {}
         self.now = now
@@ -236,7 +241,7 @@
             self.plan.groups.append(group)
             self._colocation.record_placed(candidate.step.spec, (offer for _, offer in placed))
         missing = len(candidate.tasks) - len(placed)
-        if candidate.key in self.explain:
+        if candidate.key in self.steps_to_explain:
             cause = WaitCause.DUE if placed else self._find_cause(candidate, avoids_headroom)
             self.causes[candidate.key] = cause
         if missing and candidate.queue.approval is not None:
@@ -293,7 +298,7 @@
         return [
             offer
             for offer in offers
-            if self._approvals.find_ticket(step, offer.state.life) is not None
+            if self._approvals.find_ticket(step, offer.state.instance) is not None
         ]
 
     def _request_approvals(self, candidate: Candidate) -> None:
@@ -304,17 +309,19 @@
         unknown = [
             offer
             for offer in self.offers.get(candidate.queue.pool, [])
-            if not self._approvals.is_denied(step, offer.state.life)
-            and self._approvals.find_ticket(step, offer.state.life) is None
+            if not self._approvals.is_denied(step, offer.state.instance)
+            and self._approvals.find_ticket(step, offer.state.instance) is None
             and (not spec.label or spec.label in offer.state.executor.labels)
         ]
         unknown.sort(key=lambda offer: (not offer.fits(spec.need), -offer.free.accelerators))
         count = min(
             MAX_EXECUTORS_PER_REQUEST, max(DEFAULT_EXECUTORS_PER_REQUEST, len(candidate.tasks))
         )
-        chosen = tuple(offer.state.life for offer in unknown[:count])
+        chosen = tuple(offer.state.instance for offer in unknown[:count])
         if chosen:
-            self.plan.questions.append(Question(step, chosen, candidate.queue.approval))
+            self.plan.approval_requests.append(
+                ApprovalRequest(step, chosen, candidate.queue.approval)
+            )
 
     def _evict_best_effort(self, candidate: Candidate, missing: int) -> None:
         """Stop best-effort tasks on executors needed by serving tasks."""
@@ -487,12 +494,12 @@
             return None
         if candidate.queue.approval is not None and (
             self._approvals is None
-            or self._approvals.find_ticket(candidate.key, state.life) is None
+            or self._approvals.find_ticket(candidate.key, state.instance) is None
         ):
             return None
         offer = self._offer_by_executor.get(name) or self._pinned_offers.get(name)
         if offer is None:
-            offer = self._pinned_offers[name] = Offer(state, state.free, state.room_soon())
+            offer = self._pinned_offers[name] = Offer(state, state.free, state.projected_free())
         return offer
 
     def _place_single(
@@ -605,8 +612,8 @@
         return False
 
     def _request_replan(self, in_s: float) -> None:
-        known = self.plan.recheck_in_s
-        self.plan.recheck_in_s = in_s if known is None else min(known, in_s)
+        known = self.plan.replan_in_s
+        self.plan.replan_in_s = in_s if known is None else min(known, in_s)
 
     # Preemption
 
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/progress.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/progress.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from .model import JobSpec, Life, OpenStart, Queue, Resources, StepSpec, TaskKey
+from .model import ExecutorInstance, JobSpec, Queue, Resources, StepSpec, TaskKey, UnresolvedStart
 from .places import JobPlaces
 from .record import Blame, JobStatus, ProgressRecord, StepProgress
 from .task_names import ANY, Names, distribute, unite
@@ -46,7 +46,7 @@
 
     task: TaskKey
     run: int
-    life: Life
+    instance: ExecutorInstance
     need: Resources
     ordered_at: float
     phase: Phase = Phase.STARTING
@@ -72,7 +72,7 @@
     @property
     def executor(self) -> str:
         """The executor's id."""
-        return self.life.id
+        return self.instance.id
 
     @property
     def has_begun(self) -> bool:
@@ -113,7 +113,7 @@
     def __init__(self, index: int) -> None:
         self.index = index
         self.failed_runs: set[int] = set()
-        self.crashes: dict[Life, Blame] = {}
+        self.crashes: dict[ExecutorInstance, Blame] = {}
         self.checkpoint = ""
         self.checkpoint_run = 0
         self.last_run = 0
@@ -129,12 +129,12 @@
         until = self.avoid.get(executor)
         return until is not None and until > now
 
-    def note_crash(self, life: Life, blame: Blame | None) -> None:
+    def note_crash(self, instance: ExecutorInstance, blame: Blame | None) -> None:
         """Set the blame for the crash of an executor instance; None removes it."""
         if blame is None:
-            self.crashes.pop(life, None)
+            self.crashes.pop(instance, None)
         else:
-            self.crashes[life] = blame
+            self.crashes[instance] = blame
         if self._step is not None:
             self._step.has_suspects = any(task.crashes for task in self._step.tasks)
 
@@ -334,7 +334,7 @@
         """Return the key of a task."""
         return TaskKey(self.spec.id, step.number, task.index, step.occurrence)
 
-    def mask_of(self, task: OpenStart | TaskKey) -> int:
+    def mask_of(self, task: UnresolvedStart | TaskKey) -> int:
         """Return the mask of a task, of all members for a gang; 0 if there is no such task."""
         key = TaskKey(self.spec.id, task.step, task.member, task.occurrence)
         return self.step_of(key).mask_of(key.member) if self.task(key) is not None else 0
@@ -446,24 +446,24 @@
                 task.done = bool(saved.done >> task.index & 1)
                 task.failed_runs = set(saved.failures.get(task.index, ()))
                 task.checkpoint = saved.checkpoints.get(task.index, "")
-                for life, blame in saved.crashes.get(task.index, {}).items():
+                for instance, blame in saved.crashes.get(task.index, {}).items():
                     is_open = blame is Blame.ON_TRIAL
-                    task.note_crash(life, Blame.SUSPECTED if is_open else blame)
+                    task.note_crash(instance, Blame.SUSPECTED if is_open else blame)
 
 
-def list_pending_starts(job: JobState) -> frozenset[OpenStart]:
+def list_pending_starts(job: JobState) -> frozenset[UnresolvedStart]:
     """Return the starts of a job without an answer so far, where the executor id may be reused."""
     return frozenset(
         to_open_start(attempt)
         for attempt in job.attempts()
-        if attempt.life.born and attempt.phase is Phase.STARTING
+        if attempt.instance.born and attempt.phase is Phase.STARTING
     )
 
 
-def to_open_start(attempt: Attempt) -> OpenStart:
+def to_open_start(attempt: Attempt) -> UnresolvedStart:
     """Return an attempt's start in the form recorded in the store."""
     task = attempt.task
-    return OpenStart(attempt.executor, task.step, task.member, task.occurrence)
+    return UnresolvedStart(attempt.executor, task.step, task.member, task.occurrence)
 
 
 def make_job(spec: JobSpec, now: float) -> JobState:
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/record.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/record.py
@@ -8,7 +8,16 @@
 from enum import StrEnum
 from typing import Any
 
-from .model import ApprovalTerms, JobSpec, Life, OpenStart, Queue, Resources, Schedule, StepSpec
+from .model import (
+    ApprovalTerms,
+    ExecutorInstance,
+    JobSpec,
+    Queue,
+    Resources,
+    Schedule,
+    StepSpec,
+    UnresolvedStart,
+)
 from .task_names import Names, decode_masks, encode_masks
 
 MALFORMED = (
@@ -229,7 +238,7 @@
     done: int = 0
     failures: dict[int, list[int]] = field(default_factory=dict)
     checkpoints: dict[int, str] = field(default_factory=dict)
-    crashes: dict[int, dict[Life, Blame]] = field(default_factory=dict)
+    crashes: dict[int, dict[ExecutorInstance, Blame]] = field(default_factory=dict)
 
 
 @dataclass(slots=True)
@@ -245,7 +254,7 @@
     status: JobStatus
     steps: list[StepProgress]
     places: Names | None = None
-    starts: frozenset[OpenStart] | None = None
+    starts: frozenset[UnresolvedStart] | None = None
     starts_left_s: float | None = None
 
     def encode(self) -> bytes:
@@ -299,25 +308,27 @@
     return math.ceil(max(0.0, left_s) * 10) / 10
 
 
-def _read_start(value: list[Any]) -> OpenStart:
+def _read_start(value: list[Any]) -> UnresolvedStart:
     executor, step, member, occurrence = value
-    return OpenStart(str(executor), int(step), int(member), int(occurrence))
+    return UnresolvedStart(str(executor), int(step), int(member), int(occurrence))
 
 
-def _encode_crashes(crashes: dict[int, dict[Life, Blame]]) -> dict[int, list[list[Any]]]:
+def _encode_crashes(
+    crashes: dict[int, dict[ExecutorInstance, Blame]],
+) -> dict[int, list[list[Any]]]:
     return {
-        index: [[*life, blame.value] for life, blame in blames.items()]
+        index: [[*instance, blame.value] for instance, blame in blames.items()]
         for index, blames in crashes.items()
     }
 
 
-def _decode_blames(rows: Any) -> dict[Life, Blame]:
+def _decode_blames(rows: Any) -> dict[ExecutorInstance, Blame]:
     """Decode the crashes under one task; earlier versions stored a mapping of ids."""
     if isinstance(rows, dict):
-        return {Life(str(name)): Blame(blame) for name, blame in rows.items()}
+        return {ExecutorInstance(str(name)): Blame(blame) for name, blame in rows.items()}
     return {decode_instance(name, born): Blame(blame) for name, born, blame in rows}
 
 
-def decode_instance(name: Any, born: Any = 0) -> Life:
+def decode_instance(name: Any, born: Any = 0) -> ExecutorInstance:
     """Decode an executor instance; earlier versions stored no start time."""
-    return Life(str(name), int(born))
+    return ExecutorInstance(str(name), int(born))
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/recorder.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/recorder.py
@@ -14,7 +14,7 @@
 
 from .events import log_event
 from .keystore import CommitOutcome, Committed, Item, KeyStore, Mismatch, Put, Transaction
-from .model import OpenStart
+from .model import UnresolvedStart
 from .progress import JobState
 from .relay import StoreRelay
 from .task_names import Names
@@ -82,7 +82,7 @@
             await self._written.wait()
 
     async def wait_named(
-        self, job: JobState, wanted: Names, starts: Collection[OpenStart] = ()
+        self, job: JobState, wanted: Names, starts: Collection[UnresolvedStart] = ()
     ) -> None:
         """Wait until the store has the executors of a job's tasks, and the given starts.
 
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/requests.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/requests.py
@@ -49,7 +49,7 @@
 )
 from .recorder import progress_key
 from .sizes import SETTLE_WINDOW_S
-from .stands import JobStand, Unowned
+from .stalls import JobStall, OwnerUnreachable
 
 MAX_ACCEPT_BUDGET_S = 2.2
 PEER_INTAKE_S = 1.2
@@ -205,9 +205,9 @@
         found = view if isinstance(view, JobView) else await self._read_view(job_id)
         if isinstance(found, JobView) and found.status.is_final:
             self._cache_final(job_id, found)
-        elif isinstance(view, Unowned) and not isinstance(found, NoSuchJob):
+        elif isinstance(view, OwnerUnreachable) and not isinstance(found, NoSuchJob):
             stored = found.status.value if isinstance(found, JobView) else found.reason
-            self._host.stands.tell_unowned(job_id, view, stored)
+            self._host.stalls.report_unowned(job_id, view, stored)
         return found
 
     def _cache_final(self, job_id: str, view: JobView) -> None:
@@ -216,13 +216,13 @@
         if len(self._final_views) > MAX_CACHED_FINAL:
             del self._final_views[next(iter(self._final_views))]
 
-    async def _ask_owner(self, job_id: str) -> JobView | Unowned:
+    async def _ask_owner(self, job_id: str) -> JobView | OwnerUnreachable:
         if self._host.owner is not None:
             view = self._host.owner.view(job_id)
-            return view or Unowned(self._host.settings.name, NOT_KNOWN_TO_OWNER)
+            return view or OwnerUnreachable(self._host.settings.name, NOT_KNOWN_TO_OWNER)
         presence = self._host.known_owner
         if presence is None:
-            return Unowned("", "no owner is known")
+            return OwnerUnreachable("", "no owner is known")
         reply = await self._host.ask_peer(
             presence.address,
             Operation.JOB_STATE,
@@ -230,14 +230,14 @@
             QUERY_BUDGET_S,
         )
         if isinstance(reply, PeerUnreachable):
-            return Unowned(presence.host, reply.reason)
+            return OwnerUnreachable(presence.host, reply.reason)
         if reply.status != OK:
-            return Unowned(presence.host, NOT_KNOWN_TO_OWNER)
+            return OwnerUnreachable(presence.host, NOT_KNOWN_TO_OWNER)
         view = self._host.read_reply(reply, Operation.JOB_STATE, presence.address, _decode_view)
         if view is None:
-            return Unowned(presence.host, "its reply can't be read")
-        if view.stand is not None:
-            self._host.stands.tell(job_id, view.stand, presence.host)
+            return OwnerUnreachable(presence.host, "its reply can't be read")
+        if view.stall is not None:
+            self._host.stalls.report(job_id, view.stall, presence.host)
         return view
 
     async def _read_view(self, job_id: str) -> JobView | NoSuchJob | Unavailable:
@@ -287,8 +287,8 @@
     tenant, queue = body["tenant"], body["queue"]
     if not isinstance(tenant, str) or not isinstance(queue, str):
         raise ValueError("a tenant and a queue are strings")
-    stand = JobStand.decode(body["stand"]) if "stand" in body else None
-    return JobView(JobStatus(body["status"]), tenant, queue, stand)
+    stall = JobStall.decode(body["stand"]) if "stand" in body else None
+    return JobView(JobStatus(body["status"]), tenant, queue, stall)
 
 
 def _decode_count(body: dict[str, Any]) -> int:
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/sizes.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/sizes.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from .model import Executor, JobSpec, Resources
-from .room import count_fits
+from .offers import count_fits
 
 SETTLE_WINDOW_S = 30.0
 """How long a pool must not have grown before jobs are rejected, and how long a removed executor
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/spares.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/spares.py
@@ -14,9 +14,9 @@
 
 from .fleet import ExecutorState, WorkRefusal
 from .model import Resources
+from .offers import count_fits
 from .owned import OwnedCell
 from .progress import JobState, StepState
-from .room import count_fits
 
 SCAN_INTERVAL_S = 0.25
 MIN_WAIT_S = 0.15
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/speed.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/speed.py
@@ -56,7 +56,7 @@
     expected = elapsed / max(MIN_ESTIMATE_S, step.spec.estimate_s) * 100 / far_factor
     attempt.ratio = min(MAX_RATIO, expected / gained) if gained > 0 else MAX_RATIO
     step.ratios[attempt.task.member] = attempt.ratio
-    _update_executor_speed(step, state, attempt, usual_ratio(step, policy), now)
+    _update_executor_speed(step, state, attempt, compute_typical_ratio(step, policy), now)
 
 
 def _spans_executors(step: StepState) -> bool:
@@ -66,7 +66,7 @@
 
 def _typical_rate(step: StepState, policy: Policy) -> float:
     """Return the typical progress of a gang's members (percent per second), 0 if unknown."""
-    typical_ratio = usual_ratio(step, policy, min_members=1)
+    typical_ratio = compute_typical_ratio(step, policy, min_members=1)
     if typical_ratio is None or not (step.spec.gang and policy.compare_members):
         return 0.0
     return 100 / (max(MIN_ESTIMATE_S, step.spec.estimate_s) * typical_ratio)
@@ -99,7 +99,7 @@
     return attempt.best_rate > 0 and attempt.rate * SLOW_RATIO <= attempt.best_rate
 
 
-def usual_ratio(
+def compute_typical_ratio(
     step: StepState, policy: Policy = DEFAULT_POLICY, min_members: int = MIN_COMPARED_MEMBERS
 ) -> float | None:
     """Return the typical duration of a step's tasks relative to the estimate; None if unknown.
@@ -143,7 +143,7 @@
     )
 
 
-def remaining_s(step: StepState, attempt: Attempt) -> float:
+def estimate_remaining_s(step: StepState, attempt: Attempt) -> float:
     """Return the remaining time of an attempt at its present speed."""
     if attempt.rate > 0:
         return (100 - attempt.percent) / attempt.rate
@@ -151,7 +151,7 @@
     return step.spec.estimate_s * ratio * (1 - attempt.percent / 100)
 
 
-def restarted_s(step: StepState, attempt: Attempt, typical_ratio: float | None) -> float:
+def estimate_restart_s(step: StepState, attempt: Attempt, typical_ratio: float | None) -> float:
     """Return the time the remaining work would take after a restart on a healthy executor."""
     kept_share = attempt.percent / 100 if step.spec.checkpointing else 0.0
     if has_slowed(attempt):
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/waiting.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/stall_monitor.py
@@ -10,14 +10,14 @@
 
 import trio
 
-from .causes import WaitCause
 from .events import log_event
 from .fleet import ExecutorState
 from .model import TaskKey
+from .offers import count_fits
 from .owned import OwnedCell
 from .progress import Attempt, JobState, Phase, StepState
-from .room import count_fits
-from .stands import REPORT_INTERVAL_S, JobStand
+from .stalls import REPORT_INTERVAL_S, JobStall
+from .wait_causes import WaitCause
 
 CHECK_INTERVAL_S = 0.5
 STALL_THRESHOLD_S = 1.0
@@ -49,11 +49,11 @@
 
 
 @dataclass(slots=True)
-class WaitWatch:
+class StallMonitor:
     """Checks periodically for stalled jobs and logs the cause of each."""
 
     cell: OwnedCell
-    standing: dict[str, StalledJob] = field(default_factory=dict)
+    stalled_jobs: dict[str, StalledJob] = field(default_factory=dict)
     _term_began: float = field(default_factory=trio.current_time)
     _waiting_since: dict[str, float] = field(default_factory=dict)
     _reported_at: dict[str, float] = field(default_factory=dict)
@@ -66,9 +66,9 @@
         """Check periodically until cancelled."""
         while True:
             await trio.sleep(CHECK_INTERVAL_S)
-            self.look(trio.current_time())
+            self.check(trio.current_time())
 
-    def list_unexplained(self) -> Collection[TaskKey]:
+    def take_explanation_requests(self) -> Collection[TaskKey]:
         """Return the keys of steps for which the next plan should explain why they wait.
 
         Returned once per check, as explaining a step takes about as long as planning it.
@@ -76,7 +76,7 @@
         self._explanation_keys, self._unexplained = self._unexplained, frozenset()
         return self._explanation_keys
 
-    def note_plan(self, causes: Mapping[TaskKey, WaitCause], now: float) -> None:
+    def record_plan(self, causes: Mapping[TaskKey, WaitCause], now: float) -> None:
         """Record that a plan is complete, with the causes it found."""
         self._planned_at = now
         for key in self._explanation_keys:
@@ -88,30 +88,30 @@
         return round(trio.current_time() - self._term_began, 3)
 
     @property
-    def longest_s(self) -> float:
+    def longest_stall_s(self) -> float:
         """The longest time that a job has been stalled under this owner, 0 if none is."""
         now = trio.current_time()
-        return round(max((now - s.since for s in self.standing.values()), default=0.0), 3)
+        return round(max((now - s.since for s in self.stalled_jobs.values()), default=0.0), 3)
 
-    def find_stand(self, job: str) -> JobStand | None:
+    def find_stall(self, job: str) -> JobStall | None:
         """Return why and for how long a job has been stalled, None if it is not."""
-        stalled = self.standing.get(job)
+        stalled = self.stalled_jobs.get(job)
         if stalled is None:
             return None
         now = trio.current_time()
-        return JobStand(
+        return JobStall(
             stalled.cause.value,
             round(now - stalled.since, 3),
             self.cell.term.number,
             self.term_age_s,
         )
 
-    def look(self, now: float) -> None:
+    def check(self, now: float) -> None:
         """Find the stalled jobs and report those not reported recently."""
         waiting = {job.spec.id: step for job, step in self._list_waiting()}
         self._waiting_since = {name: self._waiting_since.get(name, now) for name in waiting}
         self._reported_at = {name: at for name, at in self._reported_at.items() if name in waiting}
-        self.cell.parts.stands.keep(waiting)
+        self.cell.parts.stalls.retain(waiting)
         self._causes = {k: cause for k, cause in self._causes.items() if k.job in waiting}
         overdue = [
             name
@@ -127,8 +127,8 @@
         ]
         due_soon = [s for s in found if self._is_due(s, now + CHECK_INTERVAL_S)]
         self._unexplained = frozenset(s.key for s in due_soon[:MAX_REPORTED])
-        self.standing = {s.job.spec.id: s for s in found if now - s.since >= STALL_THRESHOLD_S}
-        due = [s for s in self.standing.values() if self._is_due(s, now)]
+        self.stalled_jobs = {s.job.spec.id: s for s in found if now - s.since >= STALL_THRESHOLD_S}
+        due = [s for s in self.stalled_jobs.values() if self._is_due(s, now)]
         for stalled in due[:MAX_REPORTED]:
             self._reported_at[stalled.job.spec.id] = now
             self._report(stalled, now, len(due))
@@ -224,7 +224,7 @@
             step=step.number,
             occurrence=step.occurrence,
             for_s=round(for_s, 3),
-            known_for_s=round(self.cell.parts.stands.note(job.spec.id, for_s), 3),
+            known_for_s=round(self.cell.parts.stalls.record(job.spec.id, for_s), 3),
             accepted_ago_s=round(self.cell.parts.wall_clock() - job.spec.accepted_at, 3),
             cause=stalled.cause.value,
             open=step.open_count,
@@ -251,10 +251,10 @@
         ranked = sorted(names, key=lambda name: (name not in own, name not in inherited, name))
         states = (self.cell.executors[name] for name in ranked if name in self.cell.executors)
         silent = (s for s in states if not s.heard or s.silent_since is not None)
-        return describe_silences(silent, now)
+        return describe_unresponsive(silent, now)
 
 
-def describe_silences(states: Iterable[ExecutorState], now: float) -> list[dict[str, Any]]:
+def describe_unresponsive(states: Iterable[ExecutorState], now: float) -> list[dict[str, Any]]:
     """Describe as many unresponsive executors as a log line may list."""
     return [_describe_unresponsive(state, now) for state in islice(states, MAX_LISTED)]
 
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/stands.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/stalls.py
@@ -25,7 +25,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class JobStand:
+class JobStall:
     """A stalled job as reported by its owner: the cause, its duration, and the owner's term."""
 
     cause: str
@@ -38,7 +38,7 @@
         return asdict(self)
 
     @classmethod
-    def decode(cls, value: Any) -> JobStand:
+    def decode(cls, value: Any) -> JobStall:
         """Decode the form sent in a reply; raises one of `MALFORMED` if it is invalid."""
         cause, for_s, term, term_age_s = (value[name] for name in cls.__slots__)
         if not isinstance(cause, str):
@@ -49,7 +49,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Unowned:
+class OwnerUnreachable:
     """A job that no owner reported on: the cell's owner, "" if unknown, and the reason."""
 
     owner: str
@@ -63,7 +63,7 @@
 
 
 @dataclass(slots=True)
-class KnownStands:
+class StallHistory:
     """The start times of stalls (trio's clock), across owners.
 
     Holds at most `MAX_STALLS` jobs, dropping those reported least recently.
@@ -72,7 +72,7 @@
     _stalls: dict[str, _Stall] = field(default_factory=dict)
     _reported_at: dict[str, float] = field(default_factory=dict)
 
-    def note(self, job: str, for_s: float) -> float:
+    def record(self, job: str, for_s: float) -> float:
         """Record a job's stall duration (s) under its owner; return that across owners (s)."""
         now = trio.current_time()
         since, stall = now - for_s, self._stalls.pop(job, None)
@@ -83,26 +83,26 @@
             del self._stalls[next(iter(self._stalls))]
         return now - since
 
-    def keep(self, waiting: Collection[str]) -> None:
+    def retain(self, waiting: Collection[str]) -> None:
         """Drop all jobs but the waiting ones; to be called with all jobs that wait."""
         self._stalls = {job: stall for job, stall in self._stalls.items() if job in waiting}
 
-    def tell(self, job: str, stand: JobStand, owner: str) -> None:
+    def report(self, job: str, stall: JobStall, owner: str) -> None:
         """Log what the owner, another host, reports of a job, unless logged recently."""
-        known_for_s = self.note(job, stand.for_s)
+        known_for_s = self.record(job, stall.for_s)
         if self._may_report(job):
             log_event(
                 "job.stands",
                 job=job,
                 told_by=owner,
-                cause=stand.cause,
-                for_s=round(stand.for_s, 3),
+                cause=stall.cause,
+                for_s=round(stall.for_s, 3),
                 known_for_s=round(known_for_s, 3),
-                term=stand.term,
-                term_age_s=round(stand.term_age_s, 3),
+                term=stall.term,
+                term_age_s=round(stall.term_age_s, 3),
             )
 
-    def tell_unowned(self, job: str, unowned: Unowned, stored: str) -> None:
+    def report_unowned(self, job: str, unowned: OwnerUnreachable, stored: str) -> None:
         """Log that no owner could report on a job that a caller queried, unless logged recently.
 
         `stored` is its status in the store, or why that is unknown too.
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/used.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/used.py
@@ -151,7 +151,7 @@
         if self._find_unresponsive_s(state, now) >= LAPSING_AFTER_S:
             lapses_in_s = round_remaining_s(state.lapse_by - now)
         return UsedExecutor(
-            executor.address, executor.pool, tasks, state.life.born, state.is_named, lapses_in_s
+            executor.address, executor.pool, tasks, state.instance.born, state.is_named, lapses_in_s
         )
 
     def _update_revision(self, outcome: Mismatch) -> None:
@@ -237,9 +237,9 @@
     if not isinstance(is_named, bool):
         raise TypeError(f"is_named of executor {name} is not a boolean")
     keys = None if tasks is None else tuple(map(_read_task, tasks))
-    life = decode_instance(name, born)
+    instance = decode_instance(name, born)
     left_s = read_remaining_s(lapses_in_s)
-    return UsedExecutor(str(address), str(pool), keys, life.born, is_named, left_s)
+    return UsedExecutor(str(address), str(pool), keys, instance.born, is_named, left_s)
 
 
 def _read_task(value: list[Any]) -> TaskKey:
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/clearing.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/victim_search.py
@@ -7,8 +7,8 @@
 
 from .losses import Loss, Losses
 from .model import Resources
+from .offers import Offer, Scope, count_fits
 from .progress import Attempt
-from .room import Offer, Scope, count_fits
 
 
 @dataclass(frozen=True, slots=True)
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/victims.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/victim_selection.py
@@ -2,11 +2,11 @@
 
 from __future__ import annotations
 
-from .clearing import SearchCriteria, find_search
 from .losses import Losses
+from .offers import Offer, Scope
 from .plan import Candidate
 from .progress import Attempt
-from .room import Offer, Scope
+from .victim_search import SearchCriteria, find_search
 
 END_WAIT_S = 0.8
 ENDS_SOON_S = 0.6
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/watching.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/watching.py
@@ -8,7 +8,7 @@
 
 from .confirming import needs_confirmation, probe_repeatedly, send_hold
 from .contact import needs_look
-from .events import describe_life, describe_run, log_event
+from .events import describe_instance, describe_run, log_event
 from .executor_link import (
     EndedRun,
     HoldOrder,
@@ -23,7 +23,7 @@
 )
 from .fleet import CLOCK_DRIFT, LAPSE_MARGIN_S, ExecutorState
 from .lives import begin_life
-from .model import Executor, Life, TaskKey
+from .model import Executor, ExecutorInstance, TaskKey
 from .owned import OwnedCell
 from .progress import UNSETTLED, Attempt, JobState, Phase
 from .speed import measure_speed
@@ -51,7 +51,7 @@
         self.state = state
         self._depose = depose
         self._failed_holds = 0
-        self._logged_instance: Life | None = None
+        self._logged_instance: ExecutorInstance | None = None
         self._hold_sent_at = float("-inf")
 
     async def run(self) -> None:
@@ -159,7 +159,7 @@
         if state.elsewhere is entry:
             state.describe(entry)
             state.evacuated = self.cell.is_evacuated(state)
-            log_event("executor.moved", **describe_life(state.life), address=entry.address)
+            log_event("executor.moved", **describe_instance(state.instance), address=entry.address)
             self.cell.note_use()
             self.cell.wake_planner()
 
@@ -179,7 +179,7 @@
         """Process a report, which may come from a new instance."""
         self._failed_holds = 0
         self._log_instance(report, order)
-        if report.born and report.born != self.state.life.born:
+        if report.born and report.born != self.state.instance.born:
             # Runs, end numbers and the clock belong to one instance, so none may be carried over.
             self.state = begin_life(self.cell, self.state, report, sent)
         else:
@@ -193,21 +193,21 @@
 
     def _log_instance(self, report: Report, order: HoldOrder) -> None:
         """Log each instance once, with its end numbers and the ones processed before."""
-        life = Life(self.state.id, report.born)
-        if life == self._logged_instance:
+        instance = ExecutorInstance(self.state.id, report.born)
+        if instance == self._logged_instance:
             return
         numbers = [end.number for end in report.ended]
         log_event(
             "executor.reports",
-            **describe_life(life),
-            born_before=self.state.life.born,
+            **describe_instance(instance),
+            born_before=self.state.instance.born,
             noted=self.state.noted,
             told_seen=order.seen,
             ends=[min(numbers), max(numbers)] if numbers else [],
             runs=len(report.running),
             clock_ms=report.clock_ms,
         )
-        self._logged_instance = life
+        self._logged_instance = instance
 
     def _choose_wait(self, now: float) -> float:
         """Return how long a hold may wait for an end; 0.0 while a stop is to be confirmed."""
@@ -247,18 +247,18 @@
             self._log_silence(outcome, now)
         if isinstance(outcome, Unanswered):
             if self.state.silent_since is None:
-                self.cell.crashes.note_silence(self.state, now)
+                self.cell.crashes.record_unresponsive(self.state, now)
                 # Sent until it answers, as it may be another instance by then.
                 self.cell.stop_late_starts(self.state)
                 self.cell.note_use()
             self.state.has_refused |= outcome.unsent
             # Recorded at once, although it may only be partitioned: this owner may be gone before
             # the lease ends.
-            self.cell.crashes.note_down(self.state)
+            self.cell.crashes.record_possible_crash(self.state)
         self.state.notify_waiters()
         self.state.rest_until = max(self.state.rest_until, now + MAX_PAUSE_S)
         if now > self.state.lapse_by and self.state.heard:
-            self.cell.crashes.note_down(self.state)
+            self.cell.crashes.record_possible_crash(self.state)
             self.cell.fail_crashing_jobs_at(self.state)
             self._close_expired("the holding time has run out")
         await trio.sleep(min(MAX_PAUSE_S, PAUSE_S * 2 ** min(self._failed_holds, 4)))
@@ -268,13 +268,13 @@
         held = sorted(self.state.list_held(), key=lambda attempt: -attempt.ordered_at)
         log_event(
             "executor.silent",
-            **describe_life(self.state.life),
+            **describe_instance(self.state.instance),
             sign=_describe_failure(outcome),
             listed=self.state.listed,
             leaves=self.state.leaves_at is not None,
             runs=len(held),
             youngest=[
-                describe_run(attempt.task, attempt.run, attempt.life)
+                describe_run(attempt.task, attempt.run, attempt.instance)
                 | {"age_s": round(now - attempt.ordered_at, 3), "percent": attempt.percent}
                 for attempt in held[:MAX_RUNS_LOGGED]
             ],
@@ -314,7 +314,10 @@
         if not state.heard and report.is_complete:
             state.heard = True
             log_event(
-                "executor.heard", **describe_life(state.life), runs=len(listed), ends=len(fresh)
+                "executor.heard",
+                **describe_instance(state.instance),
+                runs=len(listed),
+                ends=len(fresh),
             )
             self.cell.note_use()
             self.cell.wake_planner()
@@ -359,7 +362,7 @@
         attempt.seen = True
         if attempt.sends and received - attempt.sent_at >= MIN_PROVEN_RUN_S:
             task.works = True
-            self.cell.crashes.end_trial(run.task, self.state.life)
+            self.cell.crashes.end_trial(run.task, self.state.instance)
         if attempt.phase is Phase.STARTING:
             attempt.phase = Phase.RUNNING
             attempt.settled_at = received
@@ -392,7 +395,7 @@
         task = self.cell.find_task(run.task)
         assert task is not None
         step = job.step_of(run.task)
-        attempt = Attempt(run.task, run.run, self.state.life, step.spec.need, received)
+        attempt = Attempt(run.task, run.run, self.state.instance, step.spec.need, received)
         attempt.phase = Phase.RUNNING
         attempt.settled_at = received
         attempt.moved_at = received
@@ -405,7 +408,7 @@
         self.cell.update_checkpoint(task, run.run, run.checkpoint)
         self.cell.place(task, attempt, self.state)
         job.begun = True
-        log_event("run.adopted", **describe_run(run.task, run.run, self.state.life))
+        log_event("run.adopted", **describe_run(run.task, run.run, self.state.instance))
         if task.done or not job.is_active:
             self.cell.request_stop(attempt, "not wanted any more")
 
--- a/packages/heronthread-dispatch/tests/test_approval.py
+++ b/packages/heronthread-dispatch/tests/test_approval.py
@@ -36,7 +36,7 @@
         await site.hosts["h0"].requests.accept(record, 2.0)
         await trio.sleep(3.0)
         assert await _status(site, "a") is JobStatus.SUCCEEDED
-        assert len(site.approver.questions) == 1
+        assert len(site.approver.approval_requests) == 1
 
 
 async def test_expired_ticket_is_requested_again(autojump_clock: Clock) -> None:
@@ -47,7 +47,7 @@
         await site.hosts["h0"].requests.accept(record, 2.0)
         await trio.sleep(15.0)
         assert await _status(site, "a") is JobStatus.SUCCEEDED
-        assert len(site.approver.questions) >= 2
+        assert len(site.approver.approval_requests) >= 2
         assert len(site.executors.starts()) == 12
 
 
@@ -72,7 +72,7 @@
         )
         await trio.sleep(6.0)
         assert await _status(site, "a") is JobStatus.SUCCEEDED
-        assert len(site.approver.questions) == 3
+        assert len(site.approver.approval_requests) == 3
 
 
 async def test_denied_step_does_not_block_others(autojump_clock: Clock) -> None:
@@ -86,7 +86,7 @@
         await trio.sleep(3.0)
         assert await _status(site, "plain") is JobStatus.SUCCEEDED
         assert await _status(site, "denied") is JobStatus.PENDING
-        assert len(site.approver.questions) == 1
+        assert len(site.approver.approval_requests) == 1
 
 
 async def test_terms_are_stored_with_the_job(autojump_clock: Clock) -> None:
--- a/packages/heronthread-dispatch/tests/test_clock.py
+++ b/packages/heronthread-dispatch/tests/test_clock.py
@@ -59,8 +59,10 @@
         owner = site.hosts["h0"].owner
         assert owner is not None
         step = TaskKey("a", 0, 0)
-        lives = [place.executor.life for place in site.executors.by_id.values()]
-        known = [life for life in lives if owner.cell.approvals.find_ticket(step, life)]
+        instances = [place.executor.instance for place in site.executors.by_id.values()]
+        known = [
+            instance for instance in instances if owner.cell.approvals.find_ticket(step, instance)
+        ]
         assert known
         suspend.append(60.0)
-        assert not any(owner.cell.approvals.find_ticket(step, life) for life in known)
+        assert not any(owner.cell.approvals.find_ticket(step, instance) for instance in known)
--- a/packages/heronthread-dispatch/tests/test_crash_attribution.py
+++ b/packages/heronthread-dispatch/tests/test_crash_attribution.py
@@ -1,7 +1,7 @@
 """Attribution of a crash from the runs on the executor and from concurrent failures."""
 
 from heronthread_dispatch.crashes import ActiveRun, attribute_crash
-from heronthread_dispatch.model import Life, TaskKey
+from heronthread_dispatch.model import ExecutorInstance, TaskKey
 from heronthread_dispatch.progress import MOST_CRASHES, TaskState
 from heronthread_dispatch.record import Blame, JobStatus, ProgressRecord, StepProgress
 
@@ -80,7 +80,7 @@
 
 
 def test_crashes_survive_encoding() -> None:
-    steps = [StepProgress(), StepProgress(crashes={3: {Life("e0", 7): Blame.BLAMED}})]
+    steps = [StepProgress(), StepProgress(crashes={3: {ExecutorInstance("e0", 7): Blame.BLAMED}})]
     record = ProgressRecord(JobStatus.RUNNING, steps)
     assert ProgressRecord.decode(record.encode()) == record
 
@@ -93,4 +93,4 @@
 def test_crashes_noted_by_an_earlier_version_are_of_lives_without_a_start() -> None:
     data = b'{"status":"running","steps":[["0",{},{}]],"crashes":[{"3":{"e0":"suspected"}}]}'
     found = ProgressRecord.decode(data).steps[0].crashes
-    assert found == {3: {Life("e0"): Blame.SUSPECTED}}
+    assert found == {3: {ExecutorInstance("e0"): Blame.SUSPECTED}}
--- a/packages/heronthread-dispatch/tests/test_directory.py
+++ b/packages/heronthread-dispatch/tests/test_directory.py
@@ -164,9 +164,9 @@
 async def test_an_invalid_entry_holds_for_a_life_that_an_earlier_entry_named(
     autojump_clock: Clock,
 ) -> None:
-    """A new life that reports after its entry turned invalid must get no work.
+    """A new instance that reports after its entry turned invalid must get no work.
 
-    The valid entry read before must not be used to describe the new life.
+    The valid entry read before must not be used to describe the new instance.
     """
     async with EmulatedSite.open(hosts=1, executors=1) as site:
         host = site.hosts[await site.wait_for_owner()]
--- a/packages/heronthread-dispatch/tests/test_events.py
+++ b/packages/heronthread-dispatch/tests/test_events.py
@@ -1,6 +1,6 @@
 import trio
 from heronthread_dispatch.events import RepeatedEvents, describe_run
-from heronthread_dispatch.model import Life, TaskKey
+from heronthread_dispatch.model import ExecutorInstance, TaskKey
 from heronthread_emulator import captured_events
 
 
@@ -18,7 +18,7 @@
 
 
 def test_a_run_is_described_by_searchable_fields() -> None:
-    fields = describe_run(TaskKey("ab", 1, 2, 3), 4, Life("e0", 7))
+    fields = describe_run(TaskKey("ab", 1, 2, 3), 4, ExecutorInstance("e0", 7))
     assert fields == {
         "job": "ab",
         "step": 1,
--- a/packages/heronthread-dispatch/tests/test_instance_restart.py
+++ b/packages/heronthread-dispatch/tests/test_instance_restart.py
@@ -180,7 +180,7 @@
             await _submit(site, told, job, work_s=1.0)
         await trio.sleep(MAX_ORDER_DELAY_S + 2.0)
         await _check(site, told, set())
-        ends = {(e.life, e.number) for e in site.executors.events if e.what == "done"}
+        ends = {(e.instance, e.number) for e in site.executors.events if e.what == "done"}
         assert len(ends) == 3
         assert ends <= site.executors.taken_note
 
@@ -334,7 +334,12 @@
         await trio.sleep(10.0)
         await _check(site, told, set())
         assert len(site.executors.starts()) == 2
-        assert len({question.lives for question in site.approver.questions}) == 2
+        assert (
+            len(
+                {approval_request.instances for approval_request in site.approver.approval_requests}
+            )
+            == 2
+        )
 
 
 async def test_an_instance_is_recorded_before_anything_starts_there(
@@ -348,7 +353,7 @@
         used = decode_used(site.store.items["used/0"].value)
         assert isinstance(used, dict)
         assert used["e0"].born == site.executors.by_id["e0"].executor.born
-        assert site.executors.starts()[-1].life == site.executors.by_id["e0"].executor.life
+        assert site.executors.starts()[-1].instance == site.executors.by_id["e0"].executor.instance
 
 
 def test_executors_in_use_of_an_earlier_version_have_no_start_time() -> None:
@@ -409,7 +414,7 @@
         assert owner is not None
         watch = ExecutorWatch(owner.cell, owner.cell.executors["e0"], owner.depose)
         watch.state.noted = watch.state.seen = 5
-        report = Report(100, (), (), born=watch.state.life.born + 1)
+        report = Report(100, (), (), born=watch.state.instance.born + 1)
         await watch._handle_report(report, HoldOrder(1, 5, None, 0.0), trio.current_time())
         assert owner.cell.executors["e0"] is watch.state
         assert (watch.state.noted, watch.state.seen, watch.state.acknowledged) == (0, 0, 0)
--- a/packages/heronthread-dispatch/tests/test_late_starts.py
+++ b/packages/heronthread-dispatch/tests/test_late_starts.py
@@ -11,7 +11,7 @@
     LateStart,
     LateStarts,
 )
-from heronthread_dispatch.model import NOTHING, Executor, Life, Resources, TaskKey
+from heronthread_dispatch.model import NO_RESOURCES, Executor, ExecutorInstance, Resources, TaskKey
 from heronthread_dispatch.progress import Attempt
 
 Clock = trio.testing.MockClock
@@ -19,7 +19,9 @@
 
 def _make_attempt(run: int) -> Attempt:
     now = trio.current_time()
-    return Attempt(TaskKey("a", 0, 0), run, Life("e0", 7), NOTHING, now, sent_at=now)
+    return Attempt(
+        TaskKey("a", 0, 0), run, ExecutorInstance("e0", 7), NO_RESOURCES, now, sent_at=now
+    )
 
 
 async def test_a_start_is_unresolved_until_its_maximum_delay_is_over(autojump_clock: Clock) -> None:
@@ -59,7 +61,7 @@
     states = {"e0": _make_state("e0", 7), "e1": _make_state("e1", 7)}
     starts.track(first)
     assert starts.find_pins(states) == {first.task: NOWHERE}
-    starts.mark_refused(Life("e0", 7), first.task, 1)
+    starts.mark_refused(ExecutorInstance("e0", 7), first.task, 1)
     assert starts.find_pins(states) == {first.task: "e0"}
     starts.note_start_refused(first.task)
     assert starts.find_pins(states) == {first.task: NOWHERE}
@@ -68,7 +70,7 @@
     assert starts.find_pins(states) == {first.task: NOWHERE}
     states["e0"] = _make_state("e0", 9)
     assert starts.find_pins(states) == {first.task: NOWHERE}
-    starts.mark_refused(Life("e0", 9), first.task, 1)
+    starts.mark_refused(ExecutorInstance("e0", 9), first.task, 1)
     assert starts.find_pins(states) == {first.task: "e0"}
     await trio.sleep(MAX_ORDER_DELAY_S)
     assert starts.find_pins(states) == {}
@@ -79,10 +81,10 @@
 ) -> None:
     starts, first = LateStarts(), _make_attempt(1)
     states = {"e0": _make_state("e0", 7), "e1": _make_state("e1", 7)}
-    other = replace(_make_attempt(2), life=Life("e1", 7))
+    other = replace(_make_attempt(2), instance=ExecutorInstance("e1", 7))
     for attempt in (first, other):
         starts.track(attempt)
-        starts.mark_refused(attempt.life, attempt.task, attempt.run)
+        starts.mark_refused(attempt.instance, attempt.task, attempt.run)
     assert starts.find_pins(states) == {first.task: NOWHERE}
 
 
@@ -92,7 +94,7 @@
     starts.track(first)
     states["e0"].evacuated = True
     assert starts.find_pins(states) == {first.task: NOWHERE}
-    starts.mark_refused(Life("e0", 7), first.task, 1)
+    starts.mark_refused(ExecutorInstance("e0", 7), first.task, 1)
     assert starts.find_pins(states) == {}
 
 
@@ -116,5 +118,5 @@
     autojump_clock: Clock,
 ) -> None:
     starts = LateStarts()
-    starts.track(replace(_make_attempt(1), life=Life("e0", 0)))
+    starts.track(replace(_make_attempt(1), instance=ExecutorInstance("e0", 0)))
     assert starts.list_open("e0") == []
--- a/packages/heronthread-dispatch/tests/test_room.py
+++ b/packages/heronthread-dispatch/tests/test_offers.py
@@ -3,8 +3,8 @@
 import pytest
 from heronthread_dispatch.fleet import ExecutorState
 from heronthread_dispatch.headroom import Headroom
-from heronthread_dispatch.model import NOTHING, Executor, Resources, StepSpec
-from heronthread_dispatch.room import Offer, Scope, count_fits, make_offers
+from heronthread_dispatch.model import NO_RESOURCES, Executor, Resources, StepSpec
+from heronthread_dispatch.offers import Offer, Scope, count_fits, make_offers
 
 NOW = 10.0
 CAPACITY = Resources(8_000, 8_000, 8)
@@ -110,7 +110,7 @@
     offer.limit_to(CAPACITY)
     assert offer.free == CAPACITY.minus(ONE)
     offer.limit_to(Resources(-1, -1, -1))
-    assert not offer.fits(NOTHING)
+    assert not offer.fits(NO_RESOURCES)
 
 
 @pytest.mark.parametrize(
@@ -126,4 +126,4 @@
 
 
 def test_empty_requirement_fits_without_limit() -> None:
-    assert count_fits(NOTHING, NOTHING) >= 1_000_000
+    assert count_fits(NO_RESOURCES, NO_RESOURCES) >= 1_000_000
--- a/packages/heronthread-dispatch/tests/test_planner.py
+++ b/packages/heronthread-dispatch/tests/test_planner.py
@@ -114,7 +114,7 @@
     need = Resources(100, 100, 1)
     step = StepSpec(2, need, 1.0, gang=gang, spread_limit=1)
     job = make_job(JobSpec("a", DESIRED.queues[0], "t", "", (step,), NOW), NOW)
-    orphan = Attempt(TaskKey("a", 0, 1), 1, states[0].life, need, NOW, Phase.STOPPING)
+    orphan = Attempt(TaskKey("a", 0, 1), 1, states[0].instance, need, NOW, Phase.STOPPING)
     states[0].occupy_astray(orphan)
     starts = _list_starts(Planner([job], states, DESIRED, NOW, NOW).make())
     assert sorted(executor for _, _, executor in starts) == [states[1].id, states[2].id]
@@ -179,7 +179,7 @@
     assert _plan_pinned(_make_pinned(3, gang=gang), states, pins) == {}
     states = make_executors(4)
     limited = _make_pinned(3, gang=gang, spread_limit=1)
-    orphan = Attempt(TaskKey("a", 0, 1), 1, states[3].life, Resources(), NOW, Phase.STOPPING)
+    orphan = Attempt(TaskKey("a", 0, 1), 1, states[3].instance, Resources(), NOW, Phase.STOPPING)
     states[3].occupy_astray(orphan)
     assert 1 not in _plan_pinned(limited, states, pins)
     states[3].release(orphan)
--- a/packages/heronthread-dispatch/tests/test_peaks.py
+++ b/packages/heronthread-dispatch/tests/test_recent_peaks.py
@@ -1,4 +1,4 @@
-from heronthread_dispatch.peaks import RecentPeaks
+from heronthread_dispatch.recent_peaks import RecentPeaks
 
 
 def test_peak_is_forgotten_after_the_window() -> None:
--- a/packages/heronthread-dispatch/tests/test_recovered_executors.py
+++ b/packages/heronthread-dispatch/tests/test_recovered_executors.py
@@ -27,6 +27,6 @@
         await trio.sleep(back_s + NOTICED_WITHIN_S)
         born = site.executors.by_id["e0"].executor.born
         state = site.hosts["h0"].owner.cell.executors["e0"]
-        assert (state.life.born, state.heard) == (born, True)
+        assert (state.instance.born, state.heard) == (born, True)
         await trio.sleep(30.0)
         assert check_promises(site.executors, {}) == []
--- a/packages/heronthread-dispatch/tests/test_waiting.py
+++ b/packages/heronthread-dispatch/tests/test_stalls.py
@@ -4,7 +4,6 @@
 import pytest
 import trio
 from heronthread_dispatch.approval import Approvals, NoApprover
-from heronthread_dispatch.causes import WaitCause
 from heronthread_dispatch.fleet import ExecutorState, WorkRefusal
 from heronthread_dispatch.keystore import CommitOutcome, Transaction
 from heronthread_dispatch.lines import WHOLE_BYTES, LineWriter
@@ -16,7 +15,8 @@
 from heronthread_dispatch.progress import Attempt, JobState, Phase, make_job
 from heronthread_dispatch.record import MALFORMED
 from heronthread_dispatch.recorder import PROGRESS_PREFIX
-from heronthread_dispatch.stands import JobStand
+from heronthread_dispatch.stalls import JobStall
+from heronthread_dispatch.wait_causes import WaitCause
 from heronthread_emulator import EmulatedSite, captured_events
 from heronthread_emulator.store import StoreView
 
@@ -104,7 +104,9 @@
     """Run a job's tasks, one on each executor."""
     step = job.steps[0]
     for task, state in zip(step.tasks, states, strict=True):
-        attempt = Attempt(job.key_of(step, task), 1, state.life, step.spec.need, NOW, Phase.RUNNING)
+        attempt = Attempt(
+            job.key_of(step, task), 1, state.instance, step.spec.need, NOW, Phase.RUNNING
+        )
         task.attempt = attempt
         state.occupy(attempt)
     return job
@@ -116,7 +118,7 @@
     """Return why the last job waits after a plan, and the jobs that the plan starts."""
     key = TaskKey(jobs[-1].spec.id, 0, 0)
     planner = Planner(jobs, states, DESIRED, NOW, NOW, **more)
-    planner.explain = (key,)
+    planner.steps_to_explain = (key,)
     plan = planner.make()
     return planner.causes[key], [group[0].job.spec.id for group in plan.groups]
 
@@ -180,7 +182,7 @@
     small = Resources(1_000, 1_000, 0)
     job.steps[0].spec = replace(job.steps[0].spec, need=small, count=1)
     key = TaskKey("a", 0, 0)
-    states[0].occupy_astray(Attempt(key, 1, states[0].life, small, NOW, Phase.STOPPING))
+    states[0].occupy_astray(Attempt(key, 1, states[0].instance, small, NOW, Phase.STOPPING))
     assert _find_cause(states, job) == (WaitCause.SPREAD, [])
 
 
@@ -209,7 +211,7 @@
 def test_only_requested_steps_are_explained() -> None:
     jobs = [_make_job("a", URGENT_QUEUE), _make_job("b"), _make_job("c")]
     planner = Planner(jobs, make_executors(1), DESIRED, NOW, NOW)
-    planner.explain = (TaskKey("c", 0, 0),)
+    planner.steps_to_explain = (TaskKey("c", 0, 0),)
     planner.make()
     assert planner.causes == {TaskKey("c", 0, 0): WaitCause.ALLOCATED_TO_OTHERS}
 
@@ -258,7 +260,7 @@
     planner = Planner(
         [_make_job("a")], make_executors(1), DESIRED, NOW, NOW, may_run=lambda _: True
     )
-    planner.explain = (TaskKey("a", 0, 0),)
+    planner.steps_to_explain = (TaskKey("a", 0, 0),)
     assert planner.make().groups == []
     assert planner.causes == {}
 
@@ -331,11 +333,11 @@
 async def test_host_limits_reports_per_interval(autojump_clock: Clock) -> None:
     async with EmulatedSite.open(hosts=1) as site:
         await site.wait_for_owner()
-        stands = site.hosts["h0"].stands
-        stand = JobStand("cause", 1.0, 1, 1.0)
+        stalls = site.hosts["h0"].stalls
+        stall = JobStall("cause", 1.0, 1, 1.0)
         with captured_events() as events:
             for number in range(1_000):
-                stands.tell(f"j{number}", stand, "h1")
+                stalls.report(f"j{number}", stall, "h1")
         assert len([e for e in events if e["message_type"] == "job.stands"]) == 16
 
 
@@ -374,11 +376,11 @@
         assert "refused" in reports[0]["reason"]
 
 
-ENCODED_STALL = JobStand("cause", 1.0, 2, 3.0).encode()
+ENCODED_STALL = JobStall("cause", 1.0, 2, 3.0).encode()
 
 
 @pytest.mark.parametrize(
-    "stand",
+    "stall",
     [
         7,
         [],
@@ -388,10 +390,10 @@
         *(ENCODED_STALL | change for change in ({"term": 10**30}, {"term_age_s": float("nan")})),
     ],
 )
-def test_malformed_stall_is_rejected(stand: Any) -> None:
-    assert JobStand.decode(ENCODED_STALL) == JobStand("cause", 1.0, 2, 3.0)
+def test_malformed_stall_is_rejected(stall: Any) -> None:
+    assert JobStall.decode(ENCODED_STALL) == JobStall("cause", 1.0, 2, 3.0)
     with pytest.raises(MALFORMED):
-        JobStand.decode(stand)
+        JobStall.decode(stall)
 
 
 async def test_stall_log_line_fits_into_an_atomic_pipe_write(autojump_clock: Clock) -> None:
@@ -470,10 +472,10 @@
         silent = host.owner.cell.silent()
         assert len(silent) == 1
         silent[0].dead = True
-        host.owner.waits.look(trio.current_time())
-        stand = host.owner.waits.find_stand("a")
-        assert stand is not None
-        assert stand.cause == "it was withheld as the last plan was made"
+        host.owner.stall_monitor.check(trio.current_time())
+        stall = host.owner.stall_monitor.find_stall("a")
+        assert stall is not None
+        assert stall.cause == "it was withheld as the last plan was made"
 
 
 async def test_job_story_and_gauges_show_a_stalled_job(autojump_clock: Clock) -> None:
--- a/packages/heronthread-dispatch/tests/test_order.py
+++ b/packages/heronthread-dispatch/tests/test_step_rank.py
@@ -4,9 +4,9 @@
 
 import pytest
 from heronthread_dispatch.model import URGENT, JobSpec, Queue, Resources, StepSpec
-from heronthread_dispatch.order import StepRank, rank_step
 from heronthread_dispatch.policy import DEFAULT_POLICY
 from heronthread_dispatch.progress import make_job
+from heronthread_dispatch.step_rank import StepRank, rank_step
 
 NOW = 100.0
 URGENT_QUEUE = Queue("u", "h", "/u/", "pool", URGENT, 3, 1.5, 0.3)
--- a/packages/heronthread-dispatch/tests/test_clearing.py
+++ b/packages/heronthread-dispatch/tests/test_victim_search.py
@@ -2,10 +2,10 @@
 
 import random
 
-from heronthread_dispatch.clearing import SearchCriteria, begin_search, find_search
 from heronthread_dispatch.losses import Losses
 from heronthread_dispatch.model import Resources
-from heronthread_dispatch.room import Scope, make_offers
+from heronthread_dispatch.offers import Scope, make_offers
+from heronthread_dispatch.victim_search import SearchCriteria, begin_search, find_search
 
 from benchmarks.planning import DESIRED, NOW, make_executors, occupy
 
--- a/packages/heronthread-dispatch/tests/test_victims.py
+++ b/packages/heronthread-dispatch/tests/test_victim_selection.py
@@ -14,11 +14,11 @@
     StepSpec,
     TaskKey,
 )
-from heronthread_dispatch.order import StepRank
+from heronthread_dispatch.offers import Offer, Scope
 from heronthread_dispatch.plan import Candidate
 from heronthread_dispatch.progress import Attempt, JobState, Phase, make_job
-from heronthread_dispatch.room import Offer, Scope
-from heronthread_dispatch.victims import VictimSelector
+from heronthread_dispatch.step_rank import StepRank
+from heronthread_dispatch.victim_selection import VictimSelector
 
 NOW = 100.0
 URGENT_QUEUE = Queue("urgent", "h", "/u/", "pool", URGENT, 2, 1.5, 0.25)
@@ -36,7 +36,9 @@
 def _run(offer: Offer, name: str, accelerators: int, ran_s: float, percent: float) -> JobState:
     need = Resources(100, 100, accelerators)
     job = make_job(JobSpec(name, BATCH, "t", "", (StepSpec(1, need, 8.0),), 0.0), NOW)
-    attempt = Attempt(TaskKey(name, 0, 0), 1, offer.state.life, need, NOW - ran_s, Phase.RUNNING)
+    attempt = Attempt(
+        TaskKey(name, 0, 0), 1, offer.state.instance, need, NOW - ran_s, Phase.RUNNING
+    )
     attempt.began_at, attempt.moved_at, attempt.percent = NOW - ran_s, NOW, percent
     job.steps[0].tasks[0].attempt = attempt
     offer.state.occupy(attempt)
--- a/packages/heronthread-emulator/src/heronthread_emulator/checker.py
+++ b/packages/heronthread-emulator/src/heronthread_emulator/checker.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from heronthread_dispatch.model import JobSpec, Life, StepSpec, TaskKey
+from heronthread_dispatch.model import ExecutorInstance, JobSpec, StepSpec, TaskKey
 from heronthread_dispatch.record import JobRecord, JobStatus
 
 from .executors import EmulatedExecutors, Event
@@ -24,15 +24,15 @@
 
 
 class Witness(Protocol):
-    """What executors saw: events, ends that were taken note of and when, and lapses, by life.
+    """What executors saw: events, ends that were taken note of and when, and lapses, by instance.
 
     `crashing` are the tasks that crash each executor that starts them.
     """
 
     events: list[Event]
-    taken_note: set[tuple[Life, int]]
-    noted_at: dict[tuple[Life, int], float]
-    lapses: list[tuple[Life, float]]
+    taken_note: set[tuple[ExecutorInstance, int]]
+    noted_at: dict[tuple[ExecutorInstance, int], float]
+    lapses: list[tuple[ExecutorInstance, float]]
     crashing: dict[TaskKey, float]
 
 
@@ -119,9 +119,9 @@
 
 def _check_one_at_a_time(task: TaskKey, events: list[Event]) -> list[Violation]:
     found = []
-    alive: set[tuple[Life, int]] = set()
+    alive: set[tuple[ExecutorInstance, int]] = set()
     for event in events:
-        place = (event.life, event.run)
+        place = (event.instance, event.run)
         if event.what != "start":
             alive.discard(place)
             continue
@@ -147,9 +147,11 @@
 
 def _is_noted(end: Event, executors: Witness) -> bool:
     """Whether an end was taken note of, for good, with no lapse of its executor in between."""
-    place = (end.life, end.number)
+    place = (end.instance, end.number)
     noted_at = executors.noted_at.get(place, float("inf"))
-    lapsed = any(life == end.life and end.at < at <= noted_at for life, at in executors.lapses)
+    lapsed = any(
+        instance == end.instance and end.at < at <= noted_at for instance, at in executors.lapses
+    )
     return place in executors.taken_note and not lapsed
 
 
@@ -222,14 +224,14 @@
 
 
 def _check_tokens(events: list[Event]) -> list[Violation]:
-    highest: dict[Life, int] = {}
+    highest: dict[ExecutorInstance, int] = {}
     found = []
     for event in events:
         if event.what != "start":
             continue
-        if event.token < highest.get(event.life, 0):
+        if event.token < highest.get(event.instance, 0):
             found.append(Violation("a deposed owner starts nothing", str(event)))
-        highest[event.life] = max(event.token, highest.get(event.life, 0))
+        highest[event.instance] = max(event.token, highest.get(event.instance, 0))
     return found
 
 
@@ -289,7 +291,7 @@
     """Whether executors crashed under a task so often that it may be given up."""
     for _, tasks in _list_steps(known.record.spec):
         for task in tasks:
-            crashed = {e.life for e in by_task.get(task, ()) if e.what == "gone"}
+            crashed = {e.instance for e in by_task.get(task, ()) if e.what == "gone"}
             if len(crashed) >= GIVEN_UP_AFTER_CRASHES:
                 return True
     return False
--- a/packages/heronthread-emulator/src/heronthread_emulator/executor_server.py
+++ b/packages/heronthread-emulator/src/heronthread_emulator/executor_server.py
@@ -37,7 +37,7 @@
 ENTRY_GOES_S = 4.5
 """After a crash for good, until the entry of who crashed is gone."""
 BACK_AFTER_S = 3.3
-"""After a crash that a task brought about, until another life is at the address."""
+"""After a crash that a task brought about, until another instance is at the address."""
 ENTRY_LEASE_S = 3 * HEARTBEAT_S
 WRITE_S = 0.8
 STEER_S = 5.0
@@ -90,7 +90,7 @@
         number: int = 0,
         sent_at: float = 0.0,
     ) -> None:
-        name, born = executor.executor.life
+        name, born = executor.executor.instance
         event = Event(time.time(), what, task, run, name, token, number, born=born)
         self.sight.note(
             f"executor.{what}",
@@ -108,10 +108,10 @@
         )
 
     def crash(self, name: str) -> None:
-        """End a life at once, and write down that it is over."""
+        """End an instance at once, and write down that it is over."""
         place = self.by_id[name]
-        life = place.executor.life
-        self.sight.note("executor.over", executor=name, born=life.born, is_down=place.is_down)
+        instance = place.executor.instance
+        self.sight.note("executor.over", executor=name, born=instance.born, is_down=place.is_down)
         super().crash(name)
 
     async def note_rest(self) -> None:
@@ -130,22 +130,22 @@
 
 
 class Place:
-    """One address: the life that is there now, and its entry in the store."""
+    """One address: the instance that is there now, and its entry in the store."""
 
     def __init__(self, server: ExecutorServer, number: int) -> None:
         self.server = server
         self.number = number
         self.address = server.settings.network.executor(number)
-        self.lives = 0
+        self.instances = 0
         self.faults = OrderFaults()
-        self.life = self.begin_life()
+        self.instance = self.begin_life()
         self.keeps_entry = True
         self.is_changed = True
         self.is_resized = False
         self.foreign = ""
         self.is_left = False
         self.has_crashed = False
-        """Whether nobody is at the address until its next life."""
+        """Whether nobody is at the address until its next instance."""
         self._telling = trio.Lock()
         self._told_refusal: bool | None = False
         """What the links were told last; None if it is not known whether they have heard."""
@@ -153,21 +153,21 @@
         self._sequence = 0
 
     def begin_life(self, keeps_id: bool = False) -> EmulatedExecutor:
-        """Begin a life, which runs nothing and has seen no token; its id is new unless kept.
+        """Begin an instance, which runs nothing and has seen no token; its id is new unless kept.
 
         Under a kept id its clock begins at 0.
         """
-        self.lives += 1
+        self.instances += 1
         rack = f"r{self.number % RACKS}"
-        name = self.life.executor.id if keeps_id else f"e{self.number}-{self.lives}"
+        name = self.instance.executor.id if keeps_id else f"e{self.number}-{self.instances}"
         born = int(time.time() * 1000)
         executor = Executor(
             name, self.address, "pool", "local-a", rack, ("kind", rack), CAPACITY, born=born
         )
-        offset_s = -trio.current_time() if keeps_id else 1000.0 * self.lives
-        life = EmulatedExecutor(executor, stop_s=STOP_S, clock_offset_s=offset_s)
-        self.server.executors.by_id[name] = life
-        self.life = life
+        offset_s = -trio.current_time() if keeps_id else 1000.0 * self.instances
+        instance = EmulatedExecutor(executor, stop_s=STOP_S, clock_offset_s=offset_s)
+        self.server.executors.by_id[name] = instance
+        self.instance = instance
         self.server.sight.note(
             "executor.begun",
             executor=name,
@@ -176,7 +176,7 @@
             rack=rack,
             capacity=list(CAPACITY),
         )
-        return life
+        return instance
 
     async def keep_entry(self) -> None:
         """Keep the entry in the store as this address says it, until cancelled."""
@@ -193,7 +193,11 @@
         )
         if answer is None:
             return
-        executor, lease, self._sequence = self.life.executor, answer["lease"], self._sequence + 1
+        executor, lease, self._sequence = (
+            self.instance.executor,
+            answer["lease"],
+            self._sequence + 1,
+        )
         put = Put(spelling.EXECUTOR_PREFIX + executor.id, self._choose_entry(), lease)
         body = spelling.write_transaction(Transaction((), (put,)))
         if await self.server.call_store(spelling.COMMIT_PATH, body) is not None:
@@ -211,7 +215,7 @@
 
     def _choose_entry(self) -> bytes:
         """Return what the executor says of itself, or what another writer puts there instead."""
-        executor = self.life.executor
+        executor = self.instance.executor
         if not self.foreign:
             return spelling.write_entry(executor, self._sequence)
         return spelling.write_foreign_entries(executor, self._sequence)[self.foreign]
@@ -235,10 +239,10 @@
             self._told_refusal = refuses if is_told else None
 
     async def remove_entry(self) -> None:
-        """Take the entry away; it is not written again in this life."""
+        """Take the entry away; it is not written again in this instance."""
         self.keeps_entry = False
         body = spelling.write_transaction(
-            Transaction((), (), (spelling.EXECUTOR_PREFIX + self.life.executor.id,))
+            Transaction((), (), (spelling.EXECUTOR_PREFIX + self.instance.executor.id,))
         )
         await self.server.call_store(spelling.COMMIT_PATH, body)
 
@@ -246,44 +250,46 @@
 
     async def answer(self, request: Request) -> Answer:
         """Answer one order."""
-        life, order = self.life, _read_order(request)
+        instance, order = self.instance, _read_order(request)
         if isinstance(order, StartOrder) and self.faults.silent:
-            self._note_unanswered(life, order)
+            self._note_unanswered(instance, order)
         if order is None or self.faults.silent:
             return NoResponse.SILENCE if self.faults.silent else Response(404)
-        if life.is_down:
+        if instance.is_down:
             return NoResponse.RESET
         if self.faults.slow_s:
             await trio.sleep(self.server.random.uniform(0.2, 1.0) * self.faults.slow_s)
-        if not self._is_meant(request, life):
+        if not self._is_meant(request, instance):
             return Response(421)
         if not isinstance(order, HoldOrder):
             fate = self._choose_fate()
             if fate == "late":
                 if isinstance(order, StartOrder):
-                    self._note_unanswered(life, order)
-                self.server.nursery.start_soon(self._obey_late, life, order)
+                    self._note_unanswered(instance, order)
+                self.server.nursery.start_soon(self._obey_late, instance, order)
                 return NoResponse.SILENCE
             if fate is not None:
                 return fate
-        return await self._tell(life, order, self._obey(life, order))
+        return await self._tell(instance, order, self._obey(instance, order))
 
-    async def _tell(self, life: EmulatedExecutor, order: Any, outcome: OrderOutcome) -> Answer:
+    async def _tell(self, instance: EmulatedExecutor, order: Any, outcome: OrderOutcome) -> Answer:
         """Answer an order that came in time, and write down a stop that was answered."""
         if isinstance(outcome, Obeyed) and isinstance(order, HoldOrder):
-            return await self._report(life, order)
+            return await self._report(instance, order)
         if isinstance(outcome, Obeyed) and isinstance(order, StopOrder):
-            self._note_order("executor.stop_answered", life, order)
-        return _write_outcome(outcome, life.clock_ms())
+            self._note_order("executor.stop_answered", instance, order)
+        return _write_outcome(outcome, instance.clock_ms())
 
-    def _note_unanswered(self, life: EmulatedExecutor, order: StartOrder) -> None:
-        self._note_order("executor.unanswered", life, order)
+    def _note_unanswered(self, instance: EmulatedExecutor, order: StartOrder) -> None:
+        self._note_order("executor.unanswered", instance, order)
 
-    def _note_order(self, kind: str, life: EmulatedExecutor, order: StartOrder | StopOrder) -> None:
+    def _note_order(
+        self, kind: str, instance: EmulatedExecutor, order: StartOrder | StopOrder
+    ) -> None:
         self.server.sight.note(
             kind,
-            executor=life.executor.id,
-            born=life.executor.born,
+            executor=instance.executor.id,
+            born=instance.executor.born,
             job=order.task.job,
             step=order.task.step,
             index=order.task.member,
@@ -291,9 +297,9 @@
             run=order.run,
         )
 
-    def _is_meant(self, request: Request, life: EmulatedExecutor) -> bool:
+    def _is_meant(self, request: Request, instance: EmulatedExecutor) -> bool:
         meant = request.headers.get(spelling.LIFE_HEADER)
-        return not life.is_gone and meant in (None, life.executor.id)
+        return not instance.is_gone and meant in (None, instance.executor.id)
 
     def _choose_fate(self) -> Any:
         draw = self.server.random.random()
@@ -305,16 +311,16 @@
         draw -= self.faults.refused_share
         return NoResponse.RESET if draw < self.faults.reset_share else None
 
-    async def _obey_late(self, life: EmulatedExecutor, order: Order) -> None:
+    async def _obey_late(self, instance: EmulatedExecutor, order: Order) -> None:
         faults = self.faults
         await trio.sleep(self.server.random.uniform(faults.late_from_s, faults.late_to_s))
-        if self.life.executor.id == life.executor.id:
-            life = self.life
-        if life.is_gone:
+        if self.instance.executor.id == instance.executor.id:
+            instance = self.instance
+        if instance.is_gone:
             return
         self.server.executors.is_late = True
         try:
-            outcome = self._obey(life, order)
+            outcome = self._obey(instance, order)
         finally:
             self.server.executors.is_late = False
         if isinstance(order, StartOrder | StopOrder):
@@ -324,36 +330,36 @@
                 job=order.task.job,
                 index=order.task.member,
                 run=order.run,
-                executor=life.executor.id,
+                executor=instance.executor.id,
                 outcome=repr(outcome),
             )
 
-    def _obey(self, life: EmulatedExecutor, order: Order) -> OrderOutcome:
+    def _obey(self, instance: EmulatedExecutor, order: Order) -> OrderOutcome:
         if isinstance(order, StartOrder):
             work = spelling.read_work(order.payload)
             self.server.executors.specs.setdefault(order.task.job, {})[order.task.step] = work
-        outcome = self.server.executors.obey(life, order)
+        outcome = self.server.executors.obey(instance, order)
         for _, name in self.server.executors.overfull:
             self.server.sight.note("executor.overfull", executor=name)
         self.server.executors.overfull.clear()
         return outcome
 
-    async def _report(self, life: EmulatedExecutor, order: HoldOrder) -> Answer:
-        if order.wait_s and not life.ended:
+    async def _report(self, instance: EmulatedExecutor, order: HoldOrder) -> Answer:
+        if order.wait_s and not instance.ended:
             with trio.move_on_after(order.wait_s):
-                await life.news.wait()
+                await instance.news.wait()
         if self.faults.silent:
             return NoResponse.SILENCE
-        if life.is_gone:
+        if instance.is_gone:
             return NoResponse.RESET
         running = [
             RunningRun(run.task, run.run, "", 100 * run.worked_s / run.work_s)
-            for run in life.running.values()
+            for run in instance.running.values()
         ]
         return Response(
             200,
             spelling.write_report(
-                life.clock_ms(), running, life.ended[:500], born=life.executor.born
+                instance.clock_ms(), running, instance.ended[:500], born=instance.executor.born
             ),
         )
 
@@ -422,15 +428,17 @@
             await place.tell_links()
 
     def _note_silence(self, place: Place) -> None:
-        name, is_silent = place.life.executor.id, place.faults.silent or place.faults.refuses
+        name, is_silent = place.instance.executor.id, place.faults.silent or place.faults.refuses
         self.sight.note("executor.silence", executor=name, place=place.number, is_silent=is_silent)
 
     async def set_life(self, values: dict[str, Any]) -> None:
-        """Set how the life at an address works: failing, standing still, slow."""
+        """Set how the instance at an address works: failing, standing still, slow."""
         for name, value in values["set"].items():
-            setattr(self._find(values).life, name, value)
-        life = self._find(values).life
-        self.sight.note("executor.health", executor=life.executor.id, fails_all=life.fails_all)
+            setattr(self._find(values).instance, name, value)
+        instance = self._find(values).instance
+        self.sight.note(
+            "executor.health", executor=instance.executor.id, fails_all=instance.fails_all
+        )
 
     async def set_crashing(self, values: dict[str, Any]) -> None:
         """Have the first task of each of some jobs crash the executors that start it."""
@@ -439,23 +447,23 @@
             self.sight.note("executor.crashing", executor="", job=job, after_s=values["after_s"])
 
     def crash_by_itself(self, name: str) -> None:
-        """End a life that a task has crashed; a new one is there seconds later."""
-        place = next(place for place in self.places.values() if place.life.executor.id == name)
-        place.life.is_down = True
+        """End an instance that a task has crashed; a new one is there seconds later."""
+        place = next(place for place in self.places.values() if place.instance.executor.id == name)
+        place.instance.is_down = True
         self.nursery.start_soon(self._crash, place, BACK_AFTER_S, self.keeps_ids)
 
     async def resize(self, values: dict[str, Any]) -> None:
         """Let the room of an executor that does not guard it shrink or grow."""
         place = self._find(values)
         room = Resources(*(int(amount * values["share"]) for amount in CAPACITY))
-        place.life.executor = replace(place.life.executor, capacity=room)
-        place.life.guards = False
+        place.instance.executor = replace(place.instance.executor, capacity=room)
+        place.instance.guards = False
         place.is_resized = place.is_changed = True
 
     async def overwrite(self, values: dict[str, Any]) -> None:
         """Have another writer's form stand in an entry; an empty name puts the executor's back."""
         place = self._find(values)
-        forms = sorted(spelling.write_foreign_entries(place.life.executor, 0))
+        forms = sorted(spelling.write_foreign_entries(place.instance.executor, 0))
         place.foreign = self.random.choice(forms) if values["is_foreign"] else ""
         place.is_changed = True
 
@@ -464,7 +472,7 @@
         answer = await self.call_store(spelling.GRANT_PATH, spelling.write_lease(0, ENTRY_LEASE_S))
         if answer is None:
             return
-        forms = list(spelling.write_foreign_entries(self.places[0].life.executor, 0).values())
+        forms = list(spelling.write_foreign_entries(self.places[0].instance.executor, 0).values())
         keys = [f"{spelling.EXECUTOR_PREFIX}x{number}" for number in range(values["count"])]
         for first in range(0, len(keys), STORM_PART):
             part = keys[first : first + STORM_PART]
@@ -473,62 +481,62 @@
             await self.call_store(spelling.COMMIT_PATH, body)
 
     async def crash(self, values: dict[str, Any]) -> None:
-        """End a life without a word; a new one is at the same address `after_s` later.
+        """End an instance without a word; a new one is at the same address `after_s` later.
 
         Until then nobody is at the address.
         """
         place = self._find(values)
-        place.life.is_down = values["after_s"] > 0
+        place.instance.is_down = values["after_s"] > 0
         await self._crash(place, values["after_s"])
 
     async def crash_for_good(self, values: dict[str, Any]) -> None:
-        """End some lives without a word; nobody is at their addresses any more.
+        """End some instances without a word; nobody is at their addresses any more.
 
         Their entries are there for some seconds, as those of executors that are silent.
         """
         for number in values["executors"]:
             place = self.places[number]
-            place.is_left = place.life.is_down = True
+            place.is_left = place.instance.is_down = True
             self.nursery.start_soon(place.keep_entry_for, ENTRY_GOES_S)
             await self._crash(place, 0.0)
 
     async def list_busiest(self, values: dict[str, Any]) -> list[int]:
         """Return those of some addresses that answer, with most runs first."""
         places = [self.places[number] for number in values["executors"]]
-        answering = [p for p in places if not (p.life.is_gone or p.faults.silent)]
-        answering.sort(key=lambda place: (-len(place.life.running), place.number))
+        answering = [p for p in places if not (p.instance.is_gone or p.faults.silent)]
+        answering.sort(key=lambda place: (-len(place.instance.running), place.number))
         return [place.number for place in answering]
 
     async def lose(self, values: dict[str, Any]) -> None:
-        """End some lives without a word; nobody is at their addresses until new ones are."""
+        """End some instances without a word; nobody is at their addresses until new ones are."""
         for number in values["executors"]:
             place = self.places[number]
-            if place.life.is_gone or place.life.executor.is_draining:
+            if place.instance.is_gone or place.instance.executor.is_draining:
                 continue
-            place.life.is_down = True
+            place.instance.is_down = True
             self.nursery.start_soon(self._crash, place, values["after_s"])
 
     async def restart(self, values: dict[str, Any]) -> None:
-        """End some lives without a word; each address has another one under its id later."""
+        """End some instances without a word; each address has another one under its id later."""
         self.keeps_ids = True
         for number in values["executors"]:
-            life = self.places[number].life
-            if life.is_gone or life.executor.is_draining:
+            instance = self.places[number].instance
+            if instance.is_gone or instance.executor.is_draining:
                 continue
-            life.is_down = True
+            instance.is_down = True
             self.nursery.start_soon(self._crash, self.places[number], values["after_s"], True)
 
     async def _crash(self, place: Place, after_s: float, keeps_id: bool = False) -> None:
-        life = place.life
-        if life.is_gone:
+        instance = place.instance
+        if instance.is_gone:
             return
-        self.executors.crash(life.executor.id)
+        self.executors.crash(instance.executor.id)
         place.keeps_entry, place.has_crashed = False, True
         await place.tell_links()
         if not place.faults.silent:
             await self.steer_links(place.number, "reset")
         await trio.sleep(after_s)
-        if place.is_left or life.executor.is_draining or place.life is not life:
+        if place.is_left or instance.executor.is_draining or place.instance is not instance:
             return
         place.begin_life(keeps_id)
         place.keeps_entry, place.is_changed, place.has_crashed = True, True, False
@@ -537,12 +545,12 @@
     async def drain(self, values: dict[str, Any]) -> None:
         """Say that an executor leaves, serve on, and end; one that is gone just stays away."""
         place = self._find(values)
-        life = place.life
-        if life.is_gone:
+        instance = place.instance
+        if instance.is_gone:
             await self._leave(place)
             return
         left_s = values["left_s"]
-        life.executor = replace(life.executor, leaves_in_s=left_s)
+        instance.executor = replace(instance.executor, leaves_in_s=left_s)
         place.is_changed = True
         await place._write_entry()
         await trio.sleep(left_s + values["longer_s"])
@@ -551,15 +559,15 @@
     async def vanish(self, values: dict[str, Any]) -> None:
         """Take an entry away while its executor serves on, then end it."""
         place = self._find(values)
-        self.sight.note("executor.vanished", executor=place.life.executor.id)
+        self.sight.note("executor.vanished", executor=place.instance.executor.id)
         await place.remove_entry()
         await trio.sleep(values["left_s"])
         await self._leave(place)
 
     async def _leave(self, place: Place) -> None:
         place.is_left, place.keeps_entry = True, False
-        place.life.is_down = True
-        self.executors.crash(place.life.executor.id)
+        place.instance.is_down = True
+        self.executors.crash(place.instance.executor.id)
         await place.remove_entry()
         self._scopes[place.number].cancel()
 
@@ -570,9 +578,9 @@
             self._note_silence(place)
             await place.tell_links()
             place.foreign, place.is_changed = "", True
-            place.life.fails_all = place.life.stands_still = False
-            place.life.slowness = 1.0
-            name = place.life.executor.id
+            place.instance.fails_all = place.instance.stands_still = False
+            place.instance.slowness = 1.0
+            name = place.instance.executor.id
             self.sight.note("executor.health", executor=name, fails_all=False)
 
 
--- a/packages/heronthread-emulator/src/heronthread_emulator/executors.py
+++ b/packages/heronthread-emulator/src/heronthread_emulator/executors.py
@@ -26,7 +26,7 @@
     Unanswered,
     Unhealthy,
 )
-from heronthread_dispatch.model import Executor, Life, Resources, TaskKey
+from heronthread_dispatch.model import Executor, ExecutorInstance, Resources, TaskKey
 
 from .approver import EmulatedApprover
 
@@ -36,7 +36,8 @@
 GANG_TIMEOUT_S = 3.0
 ENDS_AT_ONCE = 500
 MOST_HOLD_S = 10.0
-"""A longer holding time is cut to that, as of an order that was meant for another life's clock."""
+"""A longer holding time is cut to that, as of an order that was meant for another instance's
+clock."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -90,20 +91,20 @@
     born: int = 0
 
     @property
-    def life(self) -> Life:
-        """The life of the executor at which it happened."""
-        return Life(self.executor, self.born)
+    def instance(self) -> ExecutorInstance:
+        """The instance of the executor at which it happened."""
+        return ExecutorInstance(self.executor, self.born)
 
 
 @dataclass(slots=True, eq=False)
 class EmulatedExecutor:
-    """One life of an executor.
+    """One instance of an executor.
 
     Faults: `is_cut` answers nothing and does nothing; `lose_answers` orders are done and
     not answered, `late_s` later if that is set; of starts alone `lose_starts` are. After
     those `shed` starts and stops are turned away, each after `shed_s`. `fails_all`;
     `stands_still`; `slowness` times as long; `is_sick` turns starts away; `is_unreachable`
-    takes no connection for a start; `is_down` takes none at all; `is_gone` is another life. One
+    takes no connection for a start; `is_down` takes none at all; `is_gone` is another instance. One
     that does not guard its capacity (`guards`) starts what it is told to.
     """
 
@@ -169,10 +170,10 @@
         self.on_crash: Callable[[str], None] = self.crash
         self.on_tick: Callable[[], None] | None = None
         self.events: list[Event] = []
-        self.unanswered: set[tuple[Life, TaskKey, int]] = set()
-        self.taken_note: set[tuple[Life, int]] = set()
-        self.noted_at: dict[tuple[Life, int], float] = {}
-        self.lapses: list[tuple[Life, float]] = []
+        self.unanswered: set[tuple[ExecutorInstance, TaskKey, int]] = set()
+        self.taken_note: set[tuple[ExecutorInstance, int]] = set()
+        self.noted_at: dict[tuple[ExecutorInstance, int], float] = {}
+        self.lapses: list[tuple[ExecutorInstance, float]] = []
         self._nursery: trio.Nursery | None = None
         self._wholes: dict[Whole, list[tuple[EmulatedExecutor, Run]]] = {}
 
@@ -192,7 +193,7 @@
         now = trio.current_time()
         if executor.is_held and executor.clock_ms() / 1000 > executor.hold_until:
             executor.is_held = False
-            self.lapses.append((executor.executor.life, trio.current_time()))
+            self.lapses.append((executor.executor.instance, trio.current_time()))
             for run in list(executor.running.values()):
                 self._end(executor, run, EndKind.LAPSED)
             return
@@ -265,11 +266,11 @@
         sent_at: float = 0.0,
     ) -> None:
         now = trio.current_time()
-        name, born = executor.executor.life
+        name, born = executor.executor.instance
         self.events.append(Event(now, what, task, run, name, token, number, sent_at, born))
 
     def crash(self, name: str) -> None:
-        """End a life at once: what ran there is gone, and it lists nothing any more."""
+        """End an instance at once: what ran there is gone, and it lists nothing any more."""
         place = self.by_id[name]
         place.is_gone = True
         place.news.set()
@@ -302,7 +303,7 @@
         elif place is not None and await self._is_shed(place):
             return Unhealthy()
         sent_at = trio.current_time()
-        sent = (executor.life, order.task, order.run)
+        sent = (executor.instance, order.task, order.run)
         self.unanswered.add(sent)
         outcome = await self._order(executor, lambda e: self._start(e, order, sent_at), is_lost)
         if not isinstance(outcome, Unanswered) or outcome.unsent:
@@ -370,7 +371,7 @@
         return outcome
 
     async def _act_late(self, place: EmulatedExecutor, act: object, late_s: float) -> None:
-        """Carry an order out late: by the life that then has the id, whichever was meant."""
+        """Carry an order out late: by the instance that then has the id, whichever was meant."""
         await trio.sleep(late_s)
         now_there = self.by_id[place.executor.id]
         if not now_there.is_gone:
@@ -404,8 +405,8 @@
             return Obeyed()
         if order.run <= place.floor.get(order.task, 0):
             return Refused(Refusal.OLD_RUN)
-        life = place.executor.life
-        if self.approver and not self.approver.is_good(order.ticket, order.task, life):
+        instance = place.executor.instance
+        if self.approver and not self.approver.is_good(order.ticket, order.task, instance):
             return Refused(Refusal.NOT_APPROVED)
         work = self.specs.get(order.task.job, {}).get(order.task.step, DEFAULT_WORK)
         if not work.need.fits_in(place.executor.capacity.minus(place.used())):
@@ -449,8 +450,8 @@
             self._keep_until(place, order.until_ms)
         for end in place.ended:
             if end.number <= order.seen:
-                self.taken_note.add((place.executor.life, end.number))
-                self.noted_at.setdefault((place.executor.life, end.number), trio.current_time())
+                self.taken_note.add((place.executor.instance, end.number))
+                self.noted_at.setdefault((place.executor.instance, end.number), trio.current_time())
         place.ended = [end for end in place.ended if end.number > order.seen]
         return Obeyed()
 
--- a/packages/heronthread-emulator/src/heronthread_emulator/plants.py
+++ b/packages/heronthread-emulator/src/heronthread_emulator/plants.py
@@ -217,7 +217,7 @@
 
 
 def _forget_late_starts() -> Any:
-    """Starts without an answer count as settled by what another life knows nothing of."""
+    """Starts without an answer count as settled by what another instance knows nothing of."""
 
     def list_none(self: LateStarts, executor: str) -> list[Any]:
         return []
--- a/packages/heronthread-emulator/src/heronthread_emulator/pool_model.py
+++ b/packages/heronthread-emulator/src/heronthread_emulator/pool_model.py
@@ -21,11 +21,11 @@
     StepSpec,
     Tenant,
 )
-from heronthread_dispatch.peaks import RecentPeaks
 from heronthread_dispatch.plan import Plan, Start
 from heronthread_dispatch.planner import Planner
 from heronthread_dispatch.policy import Policy
 from heronthread_dispatch.progress import Attempt, JobState, Phase, StepState, make_job
+from heronthread_dispatch.recent_peaks import RecentPeaks
 
 from .load import DrawnJob, LoadPattern
 
@@ -166,7 +166,7 @@
         plan = planner.make()
         self._peaks.note(now, planner.urgent_demand())
         self._carry_out(plan)
-        return min(RECHECK_S, plan.recheck_in_s or RECHECK_S)
+        return min(RECHECK_S, plan.replan_in_s or RECHECK_S)
 
     def _note_progress(self, now: float) -> None:
         for run in self._runs.values():
@@ -195,7 +195,7 @@
             start.task.last_run += 1
             key = known.state.key_of(start.step, start.task)
             need = start.step.spec.need
-            attempt = Attempt(key, start.task.last_run, start.executor.life, need, self.env.now)
+            attempt = Attempt(key, start.task.last_run, start.executor.instance, need, self.env.now)
             start.task.attempt = attempt
             start.executor.occupy(attempt)
             attempts.append(attempt)
--- a/packages/heronthread-emulator/src/heronthread_emulator/site.py
+++ b/packages/heronthread-emulator/src/heronthread_emulator/site.py
@@ -49,7 +49,7 @@
 EPOCH_MS = 1_796_000_000_000
 """The Unix ms at which the emulated clock begins."""
 BACK_AFTER_S = 3.3
-"""After a crash, until another life of the executor is there."""
+"""After a crash, until another instance of the executor is there."""
 ENTRY_LAPSES_S = 4.5
 """Three heartbeats of silence, after which an executor's entry goes."""
 
@@ -179,7 +179,7 @@
         """Run a site for as long as the context is open; hosts are equal unless `strengths`.
 
         Executors are spread over racks and failure domains (`z0`, `z1` ...) in turn. Unless
-        `says_born` nobody says when a life began, and each life has an id of its own.
+        `says_born` nobody says when an instance began, and each instance has an id of its own.
         """
         async with trio.open_nursery() as nursery:
             site = cls(nursery, policy)
@@ -278,18 +278,19 @@
         self.nursery.start_soon(say)
 
     def remove_executor(self, name: str) -> None:
-        """End an executor's life; its address answers no more."""
+        """End an executor's instance; its address answers no more."""
         self.executors.crash(name)
         self.executors.by_id[name].is_cut = True
         self.store.remove(ENTRIES + name)
 
     def crash_executor(self, name: str) -> None:
-        """End an executor's life at once; another life of it starts some seconds later.
+        """End an executor's instance at once; another instance of it starts some seconds later.
 
-        Meanwhile its address takes no connection; after that it answers as the other life. With
-        `crashes_dark` its machine went with it: the address says nothing more, the other life has
-        another one. With `keeps_ids` the other life has the same id and address; unless
-        `keeps_addresses` it has another address, and the one before takes no connection any more.
+        Meanwhile its address takes no connection; after that it answers as the other instance.
+        With `crashes_dark` its machine went with it: the address says nothing more, the other
+        instance has another one. With `keeps_ids` the other instance has the same id and address;
+        unless `keeps_addresses` it has another address, and the one before takes no connection any
+        more.
         """
         if self.keeps_ids:
             self.restart_executor(name, self.back_after_s)
@@ -300,7 +301,7 @@
         self.nursery.start_soon(self._bring_back, name)
 
     def restart_executor(self, name: str, back_after_s: float) -> None:
-        """End an executor's life at once; it starts again under its id some time later.
+        """End an executor's instance at once; it starts again under its id some time later.
 
         It holds and knows nothing of before; ends are numbered from 1 and its clock begins at 0.
         What it is it says `said_after_s` later.
@@ -318,14 +319,14 @@
             await trio.sleep_forever()
         if self.executors.by_id[left.id] is not place:
             return
-        life = EmulatedExecutor(
+        instance = EmulatedExecutor(
             self._make_executor(left.id, left.rack, left.zone),
             place.stop_s,
             clock_offset_s=-trio.current_time(),
         )
-        self.executors.by_id[left.id] = life
+        self.executors.by_id[left.id] = instance
         await trio.sleep(self.said_after_s)
-        if self.executors.by_id[left.id] is life and not life.is_gone:
+        if self.executors.by_id[left.id] is instance and not instance.is_gone:
             self.say(left.id)
 
     async def _bring_back(self, name: str) -> None:
--- a/packages/heronthread-emulator/src/heronthread_emulator/soak.py
+++ b/packages/heronthread-emulator/src/heronthread_emulator/soak.py
@@ -379,7 +379,7 @@
         self._add_executor(executor)
 
     async def executor_crashes(self) -> None:
-        """Crash an executor; a new life is there at once."""
+        """Crash an executor; a new instance is there at once."""
         name = self._any_executor()
         left = self.site.executors.by_id[name].executor
         self.site.executors.crash(name)
--- a/packages/heronthread-emulator/src/heronthread_emulator/soak_checks.py
+++ b/packages/heronthread-emulator/src/heronthread_emulator/soak_checks.py
@@ -173,12 +173,12 @@
     for probe in history.probes:
         if probe["status"] != 200:
             continue
-        life = sum(at <= probe["sent"] for at in history.host_starts.get(probe["to"], ()))
-        version, seen_at = newest.get((probe["to"], life), (0, 0.0))
+        instance = sum(at <= probe["sent"] for at in history.host_starts.get(probe["to"], ()))
+        version, seen_at = newest.get((probe["to"], instance), (0, 0.0))
         if probe["version"] < version and probe["sent"] > seen_at + ROLLBACK_S:
             found.append(Violation("a configuration does not revert", str(probe)))
         if probe["version"] > version:
-            newest[(probe["to"], life)] = (probe["version"], probe["timestamp"])
+            newest[(probe["to"], instance)] = (probe["version"], probe["timestamp"])
     return found
 
 
--- a/packages/heronthread-emulator/src/heronthread_emulator/soak_executors.py
+++ b/packages/heronthread-emulator/src/heronthread_emulator/soak_executors.py
@@ -35,7 +35,7 @@
     b'{"state": "ready", "pool": "pool", "zone": "z0", "rack": "r0", "capacity": 8,'
     b' "leaves_in_s": null, "born": BORN}',
 )
-"""What another writer puts under an executor's id; `BORN` stands for the start of its life."""
+"""What another writer puts under an executor's id; `BORN` stands for the start of its instance."""
 WITHOUT_STATE = FOREIGN_FORMS[4]
 WITHOUT_STATE_SHARE = 0.4
 """Drawn so often of itself: it is whole but for one field, so that a lax reader would use it."""
--- a/packages/heronthread-emulator/src/heronthread_emulator/soak_faults.py
+++ b/packages/heronthread-emulator/src/heronthread_emulator/soak_faults.py
@@ -409,7 +409,7 @@
             await trio.sleep(2.0)
 
     async def executor_crashes(self) -> None:
-        """An executor crashes; a new life is at its address at once or a little later."""
+        """An executor crashes; a new instance is at its address at once or a little later."""
         after_s = self.random.choice([0.0, 0.5, 4.0])
         await self.site.steer(EXECUTORS, "crash", executor=self._any_executor(), after_s=after_s)
 
--- a/packages/heronthread-emulator/src/heronthread_emulator/soak_history.py
+++ b/packages/heronthread-emulator/src/heronthread_emulator/soak_history.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 from typing import Any
 
-from heronthread_dispatch.model import Life, TaskKey
+from heronthread_dispatch.model import ExecutorInstance, TaskKey
 from heronthread_dispatch.record import JobStatus
 
 from .checker import Told
@@ -20,7 +20,7 @@
 
 SOAK_LOG = "soak.log"
 CRASH_DISTURBS_S = 4.5
-"""Until the crashed executor's entry has lapsed, and another life is there."""
+"""Until the crashed executor's entry has lapsed, and another instance is there."""
 IN_TOUCH_S = 3.0
 """So long after a disruption its effects may last (`contact-ms` of the platform's rules)."""
 NOT_ENDED = float("inf")
@@ -59,10 +59,10 @@
 
     events: list[Event] = field(default_factory=list)
     late: set[tuple[str, TaskKey, int]] = field(default_factory=set)
-    taken_note: set[tuple[Life, int]] = field(default_factory=set)
+    taken_note: set[tuple[ExecutorInstance, int]] = field(default_factory=set)
     crashing: dict[TaskKey, float] = field(default_factory=dict)
-    noted_at: dict[tuple[Life, int], float] = field(default_factory=dict)
-    lapses: list[tuple[Life, float]] = field(default_factory=list)
+    noted_at: dict[tuple[ExecutorInstance, int], float] = field(default_factory=dict)
+    lapses: list[tuple[ExecutorInstance, float]] = field(default_factory=list)
     places: list[dict[str, Any]] = field(default_factory=list)
     draining: dict[str, float] = field(default_factory=dict)
     resized: list[tuple[str, float]] = field(default_factory=list)
@@ -144,10 +144,10 @@
     if what in PLACE_KINDS:
         history.places.append(line)
     if what == "noted":
-        history.noted_at.setdefault((Life(executor, born), line["number"]), at)
-        history.taken_note.add((Life(executor, born), line["number"]))
+        history.noted_at.setdefault((ExecutorInstance(executor, born), line["number"]), at)
+        history.taken_note.add((ExecutorInstance(executor, born), line["number"]))
     elif what == "lapse":
-        history.lapses.append((Life(executor, born), at))
+        history.lapses.append((ExecutorInstance(executor, born), at))
     elif what == "draining":
         history.draining.setdefault(executor, at)
     elif what == "overwritten":
--- a/packages/heronthread-emulator/src/heronthread_emulator/soak_standing.py
+++ b/packages/heronthread-emulator/src/heronthread_emulator/soak_standing.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field, replace
 from typing import Any
 
-from heronthread_dispatch.model import Executor, JobSpec, Life, Resources, TaskKey
+from heronthread_dispatch.model import Executor, ExecutorInstance, JobSpec, Resources, TaskKey
 
 from .checker import LATEST_ORDER_S, Violation
 from .executors import MOST_HOLD_S, Event
@@ -29,7 +29,7 @@
 
 @dataclass(slots=True)
 class _Place:
-    """One life of an executor, as its lines and its runs tell of it."""
+    """One instance of an executor, as its lines and its runs tell of it."""
 
     executor: Executor
     place: int
@@ -55,19 +55,19 @@
     history: SoakHistory
     now: float = 0.0
     places: dict[str, _Place] = field(default_factory=dict)
-    over: set[Life] = field(default_factory=set)
+    over: set[ExecutorInstance] = field(default_factory=set)
     silent_since: dict[str, float] = field(default_factory=dict)
-    unanswered: set[tuple[Life, TaskKey, int]] = field(default_factory=set)
-    open_starts: dict[tuple[Life, TaskKey, int], float] = field(default_factory=dict)
+    unanswered: set[tuple[ExecutorInstance, TaskKey, int]] = field(default_factory=set)
+    open_starts: dict[tuple[ExecutorInstance, TaskKey, int], float] = field(default_factory=dict)
     silent_places: set[int] = field(default_factory=set)
 
-    def is_noted(self, life: Life, number: int) -> bool:
+    def is_noted(self, instance: ExecutorInstance, number: int) -> bool:
         """Whether an end was taken note of by now."""
-        return self.history.noted_at.get((life, number), float("inf")) <= self.now
+        return self.history.noted_at.get((instance, number), float("inf")) <= self.now
 
-    def is_over(self, life: Life) -> bool:
-        """Whether a life is over by now."""
-        return life in self.over
+    def is_over(self, instance: ExecutorInstance) -> bool:
+        """Whether an instance is over by now."""
+        return instance in self.over
 
     def take_line(self, line: dict[str, Any]) -> None:
         """Take in a line of the executors."""
@@ -87,7 +87,7 @@
         )
         for before in self.places.values():
             if before.place == line["place"]:
-                # The address answers again, and says that the life before is over.
+                # The address answers again, and says that the earlier instance is over.
                 before.is_down = False
                 self._note_silent(before)
         self.places[name] = _Place(executor, line["place"], line["timestamp"])
@@ -97,7 +97,7 @@
         at = line["timestamp"]
         if kind == "over" and line["born"] == place.executor.born:
             place.is_over, place.is_down = True, line["is_down"]
-            self.over.add(place.executor.life)
+            self.over.add(place.executor.instance)
         elif kind == "silence":
             self._set_silence(place, line["is_silent"], at)
         elif kind == "health":
@@ -111,24 +111,24 @@
             place.executor = replace(place.executor, capacity=capacity)
         elif kind == "unanswered":
             task = TaskKey(line["job"], line["step"], line["index"], line["occurrence"])
-            self.unanswered.add((place.executor.life, task, line["run"]))
-            self.open_starts[place.executor.life, task, line["run"]] = at
+            self.unanswered.add((place.executor.instance, task, line["run"]))
+            self.open_starts[place.executor.instance, task, line["run"]] = at
         elif kind == "stop_answered":
             task = TaskKey(line["job"], line["step"], line["index"], line["occurrence"])
-            self._close_starts(place.executor.life, task, line["run"])
+            self._close_starts(place.executor.instance, task, line["run"])
         if kind not in ("unanswered", "stop_answered", "silence"):
             place.well_since = max(place.well_since, at)
 
-    def _close_starts(self, life: Life, task: TaskKey, run: int) -> None:
+    def _close_starts(self, instance: ExecutorInstance, task: TaskKey, run: int) -> None:
         """Take in that no start of a run, or of one before it, is carried out there any more."""
         for start in list(self.open_starts):
-            if start[:2] == (life, task) and start[2] <= run:
+            if start[:2] == (instance, task) and start[2] <= run:
                 del self.open_starts[start]
 
     def list_doubtful(self, job: str, works: Works) -> set[TaskKey]:
         """Return the tasks of a job that may run, or may yet begin, where nobody sees it."""
         doubts = works.find_doubts(job, self.unanswered)
-        running = {task for life, task in doubts if self.may_run_at(life)}
+        running = {task for instance, task in doubts if self.may_run_at(instance)}
         return running | self._list_late(job, works)
 
     def _list_late(self, job: str, works: Works) -> set[TaskKey]:
@@ -139,9 +139,9 @@
         """
         return {
             task
-            for (life, task, run), sent_at in self.open_starts.items()
+            for (instance, task, run), sent_at in self.open_starts.items()
             if task.job == job
-            and life not in self.over
+            and instance not in self.over
             and self.now < sent_at + LATEST_ORDER_S
             and not works.is_outdated(task, run)
         }
@@ -173,10 +173,10 @@
         is_start = event.what == "start"
         place.used = place.used.plus(need) if is_start else place.used.minus(need)
 
-    def may_run_at(self, life: Life) -> bool:
-        """Whether a run of a life may go on as far as anybody but its executor can tell."""
-        place, since = self.places.get(life.id), self.silent_since.get(life.id)
-        if place is None or since is None or place.executor.born != life.born:
+    def may_run_at(self, instance: ExecutorInstance) -> bool:
+        """Whether a run of an instance may go on as far as anybody but its executor can tell."""
+        place, since = self.places.get(instance.id), self.silent_since.get(instance.id)
+        if place is None or since is None or place.executor.born != instance.born:
             return False
         return self.now < since + MOST_HOLD_S
 
--- a/packages/heronthread-emulator/src/heronthread_emulator/spelling.py
+++ b/packages/heronthread-emulator/src/heronthread_emulator/spelling.py
@@ -96,7 +96,7 @@
 def write_report(
     clock_ms: int, running: Iterable[RunningRun], ended: Iterable[EndedRun], *, born: int
 ) -> dict[str, Any]:
-    """Return both lists of an executor, and which life of it they are of."""
+    """Return both lists of an executor, and which instance of it they are of."""
     return {
         "born": born,
         "clock-ms": clock_ms,
--- a/packages/heronthread-emulator/src/heronthread_emulator/standing.py
+++ b/packages/heronthread-emulator/src/heronthread_emulator/standing.py
@@ -11,9 +11,9 @@
   may hold it at most: it was started there, or its start was sent there and not answered (five of a
   gang were ordered, three to an executor that had just been cut off; the next owner can't tell
   those three from runs), and no end of it was taken note of.
-- An executor crashed under a task that is left within `YOUNG_S` of its start: such a task is tried
-  apart, and given up in the end (one had crashed three executors 0.03 s to 0.23 s after its start,
-  and waited for a report on the third before it was failed).
+- An executor crashed under a task that is left within `RECENT_START_S` of its start: such a task is
+  tried apart, and given up in the end (one had crashed three executors 0.03 s to 0.23 s after its
+  start, and waited for a report on the third before it was failed).
 - Its next time is not due.
 
 Each of them excuses that task, and of a gang its whole step; a job stands for any other task whose
@@ -26,9 +26,16 @@
 from collections.abc import Callable, Collection, Iterable, Iterator
 from dataclasses import dataclass, field
 
-from heronthread_dispatch.crashes import YOUNG_S
-from heronthread_dispatch.model import Executor, JobSpec, Life, Resources, StepSpec, TaskKey
-from heronthread_dispatch.room import count_fits
+from heronthread_dispatch.crashes import RECENT_START_S
+from heronthread_dispatch.model import (
+    Executor,
+    ExecutorInstance,
+    JobSpec,
+    Resources,
+    StepSpec,
+    TaskKey,
+)
+from heronthread_dispatch.offers import count_fits
 
 from .checker import Violation
 from .executors import Event
@@ -68,31 +75,31 @@
 class Works:
     """What of each job runs, is done, or may be somewhere, by what executors saw.
 
-    `is_noted` tells of an end, by its life and number, whether it was taken note of, `is_over`
-    whether a life is over, and `is_recorded` whether the store has a task as done. `moved` are the
-    jobs of which anything began or ended since it was emptied, so that a run between two looks is
-    seen.
+    `is_noted` tells of an end, by its instance and number, whether it was taken note of, `is_over`
+    whether an instance is over, and `is_recorded` whether the store has a task as done. `moved`
+    are the jobs of which anything began or ended since it was emptied, so that a run between two
+    looks is seen.
     """
 
-    is_noted: Callable[[Life, int], bool]
-    is_over: Callable[[Life], bool]
+    is_noted: Callable[[ExecutorInstance, int], bool]
+    is_over: Callable[[ExecutorInstance], bool]
     is_recorded: Callable[[TaskKey], bool] = lambda task: False
     moved: set[str] = field(default_factory=set)
-    _running: dict[str, set[tuple[Life, TaskKey, int]]] = field(
+    _running: dict[str, set[tuple[ExecutorInstance, TaskKey, int]]] = field(
         default_factory=lambda: defaultdict(set)
     )
     _done: dict[TaskKey, list[Event]] = field(default_factory=lambda: defaultdict(list))
     _failed: dict[TaskKey, set[int]] = field(default_factory=lambda: defaultdict(set))
-    _began_at: dict[tuple[Life, TaskKey, int], float] = field(default_factory=dict)
+    _began_at: dict[tuple[ExecutorInstance, TaskKey, int], float] = field(default_factory=dict)
     _last_run: dict[TaskKey, int] = field(default_factory=dict)
     _suspects: set[TaskKey] = field(default_factory=set)
-    _open: dict[str, dict[tuple[Life, TaskKey, int], int]] = field(
+    _open: dict[str, dict[tuple[ExecutorInstance, TaskKey, int], int]] = field(
         default_factory=lambda: defaultdict(dict)
     )
 
     def take(self, event: Event) -> None:
         """Take in a start or an end."""
-        job, run = event.task.job, (event.life, event.task, event.run)
+        job, run = event.task.job, (event.instance, event.task, event.run)
         self.moved.add(job)
         if event.what == "start":
             self._running[job].add(run)
@@ -102,7 +109,7 @@
             return
         self._running[job].discard(run)
         if event.what == "gone":
-            if event.at <= self._began_at.get(run, event.at) + YOUNG_S:
+            if event.at <= self._began_at.get(run, event.at) + RECENT_START_S:
                 self._suspects.add(event.task)
             return
         self._open[job][run] = event.number
@@ -116,8 +123,8 @@
         return bool(self._running.get(job))
 
     def find_doubts(
-        self, job: str, unanswered: Collection[tuple[Life, TaskKey, int]]
-    ) -> set[tuple[Life, TaskKey]]:
+        self, job: str, unanswered: Collection[tuple[ExecutorInstance, TaskKey, int]]
+    ) -> set[tuple[ExecutorInstance, TaskKey]]:
         """Return where the last run of each task of a job may be.
 
         It was started there, or its start was sent there and not answered, and no end of it was
@@ -128,8 +135,8 @@
             if number and self.is_noted(run[0], number):
                 del known[run]
         return {
-            (life, task)
-            for life, task, run in (*known, *unanswered)
+            (instance, task)
+            for instance, task, run in (*known, *unanswered)
             if task.job == job and run >= self._last_run.get(task, 0)
         }
 
@@ -181,7 +188,7 @@
     def _is_done(self, task: TaskKey) -> bool:
         """Whether a run ended done, and that is known or can still be."""
         ends = self._done.get(task, ())
-        if any(self.is_noted(e.life, e.number) or not self.is_over(e.life) for e in ends):
+        if any(self.is_noted(e.instance, e.number) or not self.is_over(e.instance) for e in ends):
             return True
         return bool(ends) and self.is_recorded(task)
 
--- a/packages/heronthread-emulator/src/heronthread_emulator/standing_site.py
+++ b/packages/heronthread-emulator/src/heronthread_emulator/standing_site.py
@@ -4,7 +4,7 @@
 
 import trio
 from heronthread_dispatch.entries import BadEntry
-from heronthread_dispatch.model import Life, TaskKey
+from heronthread_dispatch.model import ExecutorInstance, TaskKey
 from heronthread_dispatch.record import ProgressRecord, decode_progress
 from heronthread_dispatch.recorder import progress_key
 
@@ -59,12 +59,12 @@
         silent = [name for name, place in places.items() if place.is_cut or place.is_down]
         self._silent_since = {name: self._silent_since.get(name, now) for name in silent}
 
-    def _is_noted(self, life: Life, number: int) -> bool:
-        return (life, number) in self.site.executors.taken_note
+    def _is_noted(self, instance: ExecutorInstance, number: int) -> bool:
+        return (instance, number) in self.site.executors.taken_note
 
-    def _is_over(self, life: Life) -> bool:
-        place = self.site.executors.by_id[life.id]
-        return place.is_gone or place.executor.born != life.born
+    def _is_over(self, instance: ExecutorInstance) -> bool:
+        place = self.site.executors.by_id[instance.id]
+        return place.is_gone or place.executor.born != instance.born
 
     def _is_recorded(self, task: TaskKey) -> bool:
         """Whether the store has a task as done, wherever its end is."""
@@ -124,11 +124,14 @@
     def _list_doubtful(self, job: str, now: float) -> set[TaskKey]:
         """Return the tasks of a job of which a run may go on where nobody sees it."""
         doubts = self._works.find_doubts(job, self.site.executors.unanswered)
-        return {task for life, task in doubts if self._may_run_at(life, now)}
-
-    def _may_run_at(self, life: Life, now: float) -> bool:
-        """Whether a run of a life may go on as far as anybody but its executor can tell."""
-        silent_since = self._silent_since.get(life.id)
-        if silent_since is None or self.site.executors.by_id[life.id].executor.born != life.born:
+        return {task for instance, task in doubts if self._may_run_at(instance, now)}
+
+    def _may_run_at(self, instance: ExecutorInstance, now: float) -> bool:
+        """Whether a run of an instance may go on as far as anybody but its executor can tell."""
+        silent_since = self._silent_since.get(instance.id)
+        if (
+            silent_since is None
+            or self.site.executors.by_id[instance.id].executor.born != instance.born
+        ):
             return False
         return now < silent_since + MOST_HOLD_S
--- a/packages/heronthread-emulator/tests/test_crashed_addresses.py
+++ b/packages/heronthread-emulator/tests/test_crashed_addresses.py
@@ -91,7 +91,7 @@
 
 
 async def test_address_of_an_executor_that_a_task_crashed_refuses(site):
-    site.server.crash_by_itself(site.server.places[0].life.executor.id)
+    site.server.crash_by_itself(site.server.places[0].instance.executor.id)
     with trio.fail_after(5):
         while site.link.is_listening:
             await trio.sleep(0.01)
@@ -103,7 +103,7 @@
     await site.server.mend({})
     await site.proxy.mend({})
     assert await site.is_refused()
-    assert site.server.places[0].life.is_gone
+    assert site.server.places[0].instance.is_gone
     assert await site.server.list_busiest({"executors": [0]}) == []
 
 
@@ -130,10 +130,10 @@
 
 async def test_cut_by_refusals_lets_open_connections_and_the_life_go_on(site):
     assert isinstance(await site.call(), Reply)
-    life = site.server.places[0].life
+    instance = site.server.places[0].instance
     await site.server.set_faults({"executors": [0], "set": {"refuses": True}})
     assert await site.is_refused()
     assert isinstance(await site.call(), Reply), "over the connection that was open"
-    assert site.server.places[0].life is life
+    assert site.server.places[0].instance is instance
     await site.server.mend({})
     assert not await site.is_refused()
--- a/packages/heronthread-emulator/tests/test_executor_server.py
+++ b/packages/heronthread-emulator/tests/test_executor_server.py
@@ -39,12 +39,14 @@
         self.server, self.store, self.link, self.output = server, store, link, output
 
     @property
-    def life(self):
-        return self.server.places[0].life
+    def instance(self):
+        return self.server.places[0].instance
 
     def start(self, run=1, text=LONG, token=1):
-        until = self.life.clock_ms() + 6000
-        return self.link.start(self.life.executor, StartOrder(TASK, run, text, "", token, until))
+        until = self.instance.clock_ms() + 6000
+        return self.link.start(
+            self.instance.executor, StartOrder(TASK, run, text, "", token, until)
+        )
 
     def lines(self, kind):
         found = [json.loads(line) for line in self.output.getvalue().splitlines()]
@@ -79,16 +81,16 @@
     await _until(lambda: site.lines("executor.done"))
     (line,) = site.lines("executor.start")
     assert (line["job"], line["run"], line["late"]) == (TASK.job, 1, False)
-    report = await site.link.hold(site.life.executor, HoldOrder(1, 0, None, 0.0))
+    report = await site.link.hold(site.instance.executor, HoldOrder(1, 0, None, 0.0))
     assert [end.run for end in report.ended] == [1]
 
 
 async def test_order_for_another_life_does_nothing(site):
-    executor = site.life.executor
+    executor = site.instance.executor
     await site.server.crash({"executor": 0, "after_s": 0.0})
     order = StopOrder(TASK, 1, 1)
     assert await site.link.stop(executor, order) == OtherLife()
-    assert site.life.executor.id != executor.id
+    assert site.instance.executor.id != executor.id
 
 
 async def test_lower_token_is_refused(site):
@@ -97,7 +99,7 @@
 
 
 async def test_run_that_was_stopped_is_refused(site):
-    await site.link.stop(site.life.executor, StopOrder(TASK, 3, 1))
+    await site.link.stop(site.instance.executor, StopOrder(TASK, 3, 1))
     assert await site.start(run=3) == Refused(Refusal.OLD_RUN)
     assert await site.start(run=4) == Obeyed()
 
@@ -105,7 +107,7 @@
 async def test_lower_run_that_comes_late_runs_beside_a_higher_one(site):
     await site.start(run=2)
     await site.start(run=1)
-    assert {run.run for run in site.life.running.values()} == {1, 2}
+    assert {run.run for run in site.instance.running.values()} == {1, 2}
 
 
 async def test_unanswered_order_is_carried_out_late(site):
@@ -131,15 +133,15 @@
     await site.start()
     await site.server.set_faults({"executors": [0], "set": {"silent": True}})
     order = HoldOrder(1, 0, None, 0.0)
-    assert isinstance(await site.link.hold(site.life.executor, order), Unanswered)
-    assert site.life.running
+    assert isinstance(await site.link.hold(site.instance.executor, order), Unanswered)
+    assert site.instance.running
 
 
 async def test_entry_says_what_becomes_of_its_executor(site):
-    key = spelling.EXECUTOR_PREFIX + site.life.executor.id
+    key = spelling.EXECUTOR_PREFIX + site.instance.executor.id
     await _until(lambda: key in site.store.items)
-    found = EntryParser().parse(site.life.executor.id, site.store.items[key].value)
-    assert found == site.life.executor
+    found = EntryParser().parse(site.instance.executor.id, site.store.items[key].value)
+    assert found == site.instance.executor
     values = {"executor": 0, "left_s": 0.3, "longer_s": 0.1}
     await site.server.drain(values)
     assert key not in site.store.items
@@ -147,9 +149,9 @@
 
 
 async def test_life_that_is_gone_does_not_say_that_it_leaves(site):
-    """Its next life under the id would be taken for one that leaves and is given work."""
+    """Its next instance under the id would be taken for one that leaves and is given work."""
     site.server.nursery.start_soon(site.server.restart, {"executors": [0], "after_s": 0.3})
-    await _until(lambda: site.life.is_gone)
+    await _until(lambda: site.instance.is_gone)
     await site.server.drain({"executor": 0, "left_s": 0.0, "longer_s": 0.0})
     await trio.sleep(0.5)
     assert site.lines("executor.draining") == []
@@ -167,7 +169,7 @@
 
 
 async def test_executor_whose_entry_is_gone_serves_on(site):
-    key = spelling.EXECUTOR_PREFIX + site.life.executor.id
+    key = spelling.EXECUTOR_PREFIX + site.instance.executor.id
     await _until(lambda: key in site.store.items)
     await site.server.places[0].remove_entry()
     assert key not in site.store.items
@@ -177,24 +179,24 @@
 async def test_task_that_crashes_its_executor(site, monkeypatch):
     monkeypatch.setattr("heronthread_emulator.executor_server.BACK_AFTER_S", 0.3)
     await site.server.set_crashing({"jobs": [TASK.job], "after_s": 0.0})
-    first = site.life
+    first = site.instance
     assert await site.start() == Obeyed()
     while not first.is_gone:
         await trio.sleep(0.01)
     assert isinstance(await site.link.hold(first.executor, HoldOrder(1, 0, None, 0.0)), Unanswered)
-    while site.life is first:
+    while site.instance is first:
         await trio.sleep(0.01)
     assert await site.link.hold(first.executor, HoldOrder(1, 0, None, 0.0)) == OtherLife()
 
 
 async def test_lost_executor_takes_no_call_until_another_life_is_there(site):
     await site.start()
-    lost = site.life
+    lost = site.instance
     await site.server.lose({"executors": [0], "after_s": 1.0})
     await _until(lambda: site.lines("executor.gone"))
     assert isinstance(await site.start(run=2), Unanswered | Unhealthy)
-    assert site.life is lost
-    await _until(lambda: site.life is not lost)
+    assert site.instance is lost
+    await _until(lambda: site.instance is not lost)
     assert await site.start(run=2) == Obeyed()
 
 
@@ -206,17 +208,21 @@
 
 async def test_lines_tell_of_lives_and_of_starts_that_a_silent_address_got(site):
     """From these the check of standing jobs knows what could take work, and what is in doubt."""
-    life = site.life.executor.life
+    instance = site.instance.executor.instance
     (begun,) = site.lines("executor.begun")
-    assert (begun["executor"], begun["born"], begun["place"]) == (life.id, life.born, 0)
+    assert (begun["executor"], begun["born"], begun["place"]) == (instance.id, instance.born, 0)
     await site.server.set_faults({"executors": [0], "set": {"silent": True}})
     with trio.move_on_after(0.3):
         await site.start()
     (unanswered,) = site.lines("executor.unanswered")
-    assert (unanswered["executor"], unanswered["job"], unanswered["run"]) == (life.id, TASK.job, 1)
+    assert (unanswered["executor"], unanswered["job"], unanswered["run"]) == (
+        instance.id,
+        TASK.job,
+        1,
+    )
     await site.server.mend({})
     assert [line["is_silent"] for line in site.lines("executor.silence")] == [True, False]
     await site.server.crash({"executor": 0, "after_s": 0.0})
     (over,) = site.lines("executor.over")
-    assert (over["executor"], over["born"], over["is_down"]) == (life.id, life.born, False)
+    assert (over["executor"], over["born"], over["is_down"]) == (instance.id, instance.born, False)
     assert [line["place"] for line in site.lines("executor.begun")] == [0, 0]
--- a/packages/heronthread-emulator/tests/test_soak_checks.py
+++ b/packages/heronthread-emulator/tests/test_soak_checks.py
@@ -1,7 +1,7 @@
 """Each promise of a soak, kept and broken in histories made by hand."""
 
 import pytest
-from heronthread_dispatch.model import Life, Resources, TaskKey
+from heronthread_dispatch.model import ExecutorInstance, Resources, TaskKey
 from heronthread_dispatch.record import JobStatus
 from heronthread_emulator.checker import Told
 from heronthread_emulator.executors import Event, WorkSpec
@@ -60,7 +60,7 @@
 
 def test_done_work_that_runs_again():
     events = [start(1.0), end(2.0), start(3.0, 2, "e1"), end(4.0, "done", 2, "e1")]
-    assert find_broken(make_history(*events, taken_note={(Life("e0"), 1)})) == [
+    assert find_broken(make_history(*events, taken_note={(ExecutorInstance("e0"), 1)})) == [
         "done work is not run again"
     ]
 
@@ -74,8 +74,8 @@
     lapsed_at, is_broken
 ):
     events = [start(1.0), end(2.0), start(3.0, 2, "e1"), end(4.0, "done", 2, "e1")]
-    noted = (Life("e0"), 1)
-    lapses = [] if lapsed_at is None else [(Life("e0"), lapsed_at)]
+    noted = (ExecutorInstance("e0"), 1)
+    lapses = [] if lapsed_at is None else [(ExecutorInstance("e0"), lapsed_at)]
     history = make_history(*events, taken_note={noted}, noted_at={noted: 2.5}, lapses=lapses)
     assert find_broken(history) == (["done work is not run again"] if is_broken else [])
 
@@ -93,9 +93,9 @@
     for run in range(1, limit + 1):
         at, executor = 2.0 * run, f"e{run}"
         events += [start(at - 1.0, run, executor), end(at, "failed", run, executor)]
-        noted_at[Life(executor), 1] = at + 0.5
+        noted_at[ExecutorInstance(executor), 1] = at + 0.5
     events += [start(2.0 * limit + 1.0, limit + 1, "e0"), end(2.0 * limit + 1.2, run=limit + 1)]
-    lapses = [] if lapsed_at is None else [(Life("e1"), lapsed_at)]
+    lapses = [] if lapsed_at is None else [(ExecutorInstance("e1"), lapsed_at)]
     history = make_history(*events, taken_note=set(noted_at), noted_at=noted_at, lapses=lapses)
     assert find_broken(history) == (["attempts are bounded"] if is_broken else [])
 
--- a/packages/heronthread-emulator/tests/test_soak_history.py
+++ b/packages/heronthread-emulator/tests/test_soak_history.py
@@ -1,6 +1,6 @@
 import json
 
-from heronthread_dispatch.model import Life, TaskKey
+from heronthread_dispatch.model import ExecutorInstance, TaskKey
 from heronthread_dispatch.record import JobStatus
 from heronthread_emulator.soak_history import SOAK_LOG, read_history
 from heronthread_emulator.soak_plan import plan_jobs
@@ -62,8 +62,8 @@
     (event,) = history.events
     assert (event.at, event.what, event.task, event.run, event.token) == (6.0, "start", task, 7, 3)
     assert history.late == {("e0", task, 7)}
-    assert history.taken_note == {(Life("e0"), 1)}
-    assert history.lapses == [(Life("e0"), 8.0)]
+    assert history.taken_note == {(ExecutorInstance("e0"), 1)}
+    assert history.lapses == [(ExecutorInstance("e0"), 8.0)]
     assert history.late_s == 0.2
 
 
@@ -102,6 +102,6 @@
     others = [line("executor.over", 6.0, executor="e0", born=3, is_down=True), noted]
     history = read(tmp_path, make_call("POST", 200), make_call("DELETE", None), others=others)
     assert [place["message_type"] for place in history.places] == ["executor.over"]
-    assert history.noted_at == {(Life("e0", 3), 1): 7.0}
+    assert history.noted_at == {(ExecutorInstance("e0", 3), 1): 7.0}
     assert (history.find_taken_at(JOB), history.find_first(JOB, "DELETE")) == (5.5, 5.0)
     assert history.events == []
--- a/packages/heronthread-emulator/tests/test_soak_standing.py
+++ b/packages/heronthread-emulator/tests/test_soak_standing.py
@@ -1,7 +1,7 @@
 """Jobs that stand beside free room, in histories of real processes made by hand."""
 
 import pytest
-from heronthread_dispatch.model import Life, Resources, Schedule, TaskKey
+from heronthread_dispatch.model import ExecutorInstance, Resources, Schedule, TaskKey
 from heronthread_emulator.checker import Told
 from heronthread_emulator.executors import Event, WorkSpec
 from heronthread_emulator.soak_history import Disruption, SoakHistory
@@ -103,7 +103,7 @@
     history = make_history(*lapsed, ended_at=17.0)
     history.places.append(silence)
     assert find_broken(history) == []
-    history.noted_at[Life("e0-1"), 1] = 10.6
+    history.noted_at[ExecutorInstance("e0-1"), 1] = 10.6
     assert find_broken(history) == [PROMISE]
 
 
--- a/packages/heronthread-emulator/tests/test_standing.py
+++ b/packages/heronthread-emulator/tests/test_standing.py
@@ -7,8 +7,8 @@
 import trio
 from heronthread_dispatch.model import (
     Executor,
+    ExecutorInstance,
     JobSpec,
-    Life,
     Queue,
     Resources,
     Schedule,
@@ -129,7 +129,7 @@
         await site.wait_for_owner()
         stage = Stage(site)
         place = site.executors.by_id["e0"]
-        site.executors.unanswered.add((place.executor.life, TASK, 1))
+        site.executors.unanswered.add((place.executor.instance, TASK, 1))
         place.is_cut = True
         await trio.sleep(LONG_S)
         assert stage.witness.clock.longest_s == 0.0
@@ -303,7 +303,7 @@
 
 @pytest.mark.parametrize("is_recorded", [False, True])
 def test_work_that_is_done_waits_for_nothing_once_the_store_has_it(is_recorded: bool) -> None:
-    """Its end was not taken note of, and the life that listed it is over.
+    """Its end was not taken note of, and the instance that listed it is over.
 
     A trace of the soak showed jobs that were done, recorded and shown as succeeded counted as
     standing for up to 7.0 s, as the executors that still listed their ends had started again.
@@ -311,8 +311,8 @@
     queue = Queue("ordinary", "host", "/ordinary/", "pool", 1, 4, 3.0, 1.0)
     steps = (StepSpec(1, Resources(1000, 1000, 1), 1.0),)
     spec = JobSpec("a", queue, "first", "", steps, 0.0)
-    works = Works(lambda life, number: False, lambda life: True, lambda task: is_recorded)
-    key, life = TaskKey(spec.id, 0, 0), Life("e0", 7)
+    works = Works(lambda instance, number: False, lambda instance: True, lambda task: is_recorded)
+    key, instance = TaskKey(spec.id, 0, 0), ExecutorInstance("e0", 7)
     for what, number in (("start", 0), ("done", 1)):
-        works.take(Event(1.0, what, key, 1, life.id, number=number, born=life.born))
+        works.take(Event(1.0, what, key, 1, instance.id, number=number, born=instance.born))
     assert (works.list_ready(spec, 2.0) == []) is is_recorded
--- a/tests/platform/test_approver.py
+++ b/tests/platform/test_approver.py
@@ -1,16 +1,16 @@
 import pytest
-from heronthread_dispatch.approval import Approved, Question
+from heronthread_dispatch.approval import ApprovalReply, ApprovalRequest
 from heronthread_dispatch.executor_link import Unanswered
 from heronthread_dispatch.http_client import HttpClient
-from heronthread_dispatch.model import ApprovalTerms, Life, TaskKey
+from heronthread_dispatch.model import ApprovalTerms, ExecutorInstance, TaskKey
 from heronthread_platform.approver import PlatformApprover
 from heronthread_platform.configuration import ConfigurationParser
 
 from .scripted_server import ReceivedRequest, run_scripted_server
 
-QUESTION = Question(
+QUESTION = ApprovalRequest(
     TaskKey("5c0e7a21d94b36f8", 1, 0, 3),
-    (Life("i-1", 7), Life("i-2", 8)),
+    (ExecutorInstance("i-1", 7), ExecutorInstance("i-2", 8)),
     ApprovalTerms(0.01, 0.0, 5.0),
 )
 
@@ -22,7 +22,7 @@
     async with run_scripted_server(respond) as server:
         with HttpClient() as client:
             found = await PlatformApprover(client, server.address).ask(QUESTION)
-    assert found == Approved({"i-2": "t-9"})
+    assert found == ApprovalReply({"i-2": "t-9"})
     assert (server.requests[0].method, server.requests[0].target) == ("POST", "/heronthread/advise")
     assert server.requests[0].body == {"step": "5c0e7a21d94b36f8.3.1", "workers": ["i-1", "i-2"]}
 
--- a/tests/platform/test_entries.py
+++ b/tests/platform/test_entries.py
@@ -46,7 +46,7 @@
 
 def test_entry_without_born_has_start_time_zero() -> None:
     found = _parse(FOREIGN["without born"])
-    assert isinstance(found, Executor) and found.life == ("i-1", 0)
+    assert isinstance(found, Executor) and found.instance == ("i-1", 0)
 
 
 def test_unknown_service_is_left_to_the_configuration() -> None:
--- a/tests/plain_planner/gangs.py
+++ b/tests/reference_planner/gangs.py
@@ -9,7 +9,7 @@
 from heronthread_dispatch.policy import Policy
 from heronthread_dispatch.progress import StepState, TaskState
 
-from .room import Offer, count_free_now, fits_when_empty, group_by_rack
+from .offers import Offer, count_free_now, fits_when_empty, group_by_rack
 
 SPREAD_WAIT_S = 1.5
 MAX_RESERVATIONS = 2
--- a/tests/plain_planner/headroom.py
+++ b/tests/reference_planner/headroom.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from .room import Offer, group_by_rack
+from .offers import Offer, group_by_rack
 
 HEADROOM_SHARE = 0.4
 BUSY_SHARE = 0.6
--- a/tests/plain_planner/room.py
+++ b/tests/reference_planner/offers.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from heronthread_dispatch.model import Resources, StepSpec
-from heronthread_dispatch.room import Offer
+from heronthread_dispatch.offers import Offer
 
 
 def group_by_rack(offers: list[Offer]) -> dict[str, list[Offer]]:
