--- a/tests/plain_planner/planner.py
+++ b/tests/reference_planner/planner.py
@@ -7,12 +7,12 @@
 from heronthread_dispatch.approval import (
     DEFAULT_EXECUTORS_PER_REQUEST,
     MAX_EXECUTORS_PER_REQUEST,
+    ApprovalRequest,
     Approvals,
-    Question,
 )
+from heronthread_dispatch.colocation import Colocation
 from heronthread_dispatch.fleet import ExecutorState
 from heronthread_dispatch.model import URGENT, DesiredState, Queue, TaskKey
-from heronthread_dispatch.order import StepRank
 from heronthread_dispatch.plan import Candidate, Plan, Start
 from heronthread_dispatch.policy import DEFAULT_POLICY, Policy
 from heronthread_dispatch.progress import (
@@ -23,15 +23,15 @@
     TaskState,
     latest_starts,
 )
-from heronthread_dispatch.sharing import Colocation
+from heronthread_dispatch.step_rank import StepRank
 from heronthread_dispatch.task_names import find_executors
-from heronthread_dispatch.victims import ENDS_SOON_S
+from heronthread_dispatch.victim_selection import ENDS_SOON_S
 
 from .gangs import SPREAD_WAIT_S, GangPlacer
 from .guarantee import find_guaranteed
 from .headroom import Headroom
-from .room import Offer, count_fits
-from .victims import VictimSelector
+from .offers import Offer, count_fits
+from .victim_selection import VictimSelector
 
 REMOTE_WAIT_S = 1.2
 HEADROOM_WAIT_S = 1.5
@@ -71,7 +71,7 @@
         self._offer_by_executor: dict[str, Offer] = {}
         for state in self.by_id.values():
             if state.accepts_work(now):
-                offer = Offer(state, state.free, state.room_soon())
+                offer = Offer(state, state.free, state.projected_free())
                 self.offers.setdefault(state.executor.pool, []).append(offer)
                 self._offer_by_executor[state.id] = offer
         self.plan = Plan()
@@ -212,7 +212,9 @@
         if self._approvals is None:
             return []
         step = candidate.key
-        return [r for r in offers if self._approvals.find_ticket(step, r.state.life) is not None]
+        return [
+            r for r in offers if self._approvals.find_ticket(step, r.state.instance) is not None
+        ]
 
     def _request_approvals(self, candidate: Candidate) -> None:
         """Request approval for executors without a ticket or denial, the emptiest first."""
@@ -222,17 +224,19 @@
         unknown = [
             offer
             for offer in self.offers.get(candidate.queue.pool, [])
-            if not self._approvals.is_denied(step, offer.state.life)
-            and self._approvals.find_ticket(step, offer.state.life) is None
+            if not self._approvals.is_denied(step, offer.state.instance)
+            and self._approvals.find_ticket(step, offer.state.instance) is None
             and (not spec.label or spec.label in offer.state.executor.labels)
         ]
         unknown.sort(key=lambda offer: (not offer.fits(spec.need), -offer.free.accelerators))
         count = min(
             MAX_EXECUTORS_PER_REQUEST, max(DEFAULT_EXECUTORS_PER_REQUEST, len(candidate.tasks))
         )
-        chosen = tuple(offer.state.life for offer in unknown[:count])
+        chosen = tuple(offer.state.instance for offer in unknown[:count])
         if chosen:
-            self.plan.questions.append(Question(step, chosen, candidate.queue.approval))
+            self.plan.approval_requests.append(
+                ApprovalRequest(step, chosen, candidate.queue.approval)
+            )
 
     def _evict_best_effort(self, candidate: Candidate, missing: int) -> None:
         """Stop best-effort tasks on executors needed by serving tasks."""
@@ -370,8 +374,8 @@
         return False
 
     def _request_replan(self, in_s: float) -> None:
-        known = self.plan.recheck_in_s
-        self.plan.recheck_in_s = in_s if known is None else min(known, in_s)
+        known = self.plan.replan_in_s
+        self.plan.replan_in_s = in_s if known is None else min(known, in_s)
 
     # Preemption
 
--- a/tests/plain_planner/victims.py
+++ b/tests/reference_planner/victim_selection.py
@@ -5,12 +5,12 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
+from heronthread_dispatch.colocation import is_within_disruption_budget
 from heronthread_dispatch.model import URGENT, DesiredState, Resources
 from heronthread_dispatch.plan import Candidate
 from heronthread_dispatch.progress import Attempt, JobState, Phase
-from heronthread_dispatch.sharing import is_within_disruption_budget
 
-from .room import Offer, count_fits
+from .offers import Offer, count_fits
 
 END_WAIT_S = 0.8
 URGENT_LOSS_FACTOR = 6.0
--- a/tests/test_planner_equivalence.py
+++ b/tests/test_planner_equivalence.py
@@ -12,7 +12,7 @@
 from heronthread_dispatch.fleet import ExecutorState
 from heronthread_dispatch.losses import expected_end_s
 from heronthread_dispatch.model import (
-    NOTHING,
+    NO_RESOURCES,
     URGENT,
     DesiredState,
     Executor,
@@ -30,7 +30,7 @@
 from heronthread_dispatch.progress import Attempt, JobState, Phase, StepState, make_job
 from heronthread_emulator import EmulatedSite
 
-from .plain_planner.planner import Planner as PlainPlanner
+from .reference_planner.planner import Planner as ReferencePlanner
 
 NOW = 500.0
 CAPACITY = Resources(16_000, 64_000, 8)
@@ -127,7 +127,7 @@
 
     def _place(self, step: StepState, key: TaskKey, state: ExecutorState, percent: float) -> None:
         began = NOW - self.source.uniform(0.2, 9.0)
-        attempt = Attempt(key, 1, state.life, step.spec.need, began, Phase.RUNNING)
+        attempt = Attempt(key, 1, state.instance, step.spec.need, began, Phase.RUNNING)
         attempt.began_at, attempt.moved_at = began, NOW - self.source.uniform(0, 0.1)
         attempt.percent = 100.0 if step.spec.lasting else percent
         state.occupy(attempt)
@@ -142,7 +142,9 @@
                     task = job.key_of(step, source.choice(step.tasks))
                     if step.spec.need.fits_in(state.free):
                         need = step.spec.need
-                        state.occupy_astray(Attempt(task, 9, state.life, need, NOW, Phase.STOPPING))
+                        state.occupy_astray(
+                            Attempt(task, 9, state.instance, need, NOW, Phase.STOPPING)
+                        )
 
     def stop_some_steps(self) -> None:
         for job in self.jobs:
@@ -171,8 +173,8 @@
             for group in plan.groups
         ],
         "stops": [(attempt.task, attempt.run) for attempt in plan.stops],
-        "questions": plan.questions,
-        "recheck": plan.recheck_in_s,
+        "questions": plan.approval_requests,
+        "recheck": plan.replan_in_s,
     }
 
 
@@ -189,7 +191,7 @@
         peaks = {"pool": source.choice((0, 4, 24))}
         stop_s = source.choice((0.1, 0.9))
         found = []
-        for make in (PlainPlanner, Planner):
+        for make in (ReferencePlanner, Planner):
             jobs, executors = _make_state(seed)
             planner = make(jobs, executors, DESIRED, NOW, NOW, peaks, policy=policy, stop_s=stop_s)
             plan = planner.make()
@@ -197,7 +199,7 @@
         assert found[1] == found[0], f"seed {seed}"
 
 
-@pytest.mark.parametrize("make", [PlainPlanner, Planner])
+@pytest.mark.parametrize("make", [ReferencePlanner, Planner])
 def test_promised_resources_never_exceed_those_freed(make: type[Planner]) -> None:
     """Resources of attempts that end soon count once, also if the plan stops these attempts."""
     promised = 0
@@ -212,12 +214,12 @@
                 ends = expected_end_s(attempt, NOW) <= 0.9 and id(attempt) not in stopped
                 if attempt.phase is Phase.RUNNING and ends:
                     left = left.plus(attempt.need)
-            assert NOTHING.fits_in(left), f"seed {seed}, {offer.state.id}"
-            promised += not NOTHING.fits_in(offer.projected)
+            assert NO_RESOURCES.fits_in(left), f"seed {seed}, {offer.state.id}"
+            promised += not NO_RESOURCES.fits_in(offer.projected)
     assert promised >= 20, "few offers promise resources of attempts that end soon"
 
 
-@pytest.mark.parametrize("make", [PlainPlanner, Planner])
+@pytest.mark.parametrize("make", [ReferencePlanner, Planner])
 def test_starts_obey_the_spread_limit(make: type[Planner]) -> None:
     """Orphaned runs count against the spread limit until they are stopped."""
     limited = beside_orphaned_runs = 0
@@ -251,7 +253,7 @@
         gangs += sum(1 for group in plan.groups if len(group) > 1 and group[0].step.spec.gang)
         stops += len(plan.stops)
         reservations += sum(step.chosen_rack is not None for job in jobs for step in job.steps)
-        waits += plan.recheck_in_s is not None
+        waits += plan.replan_in_s is not None
     assert min(starts, stops, gangs, reservations, waits) >= 50
 
 
@@ -264,7 +266,7 @@
         super().__init__(*arguments)  # type: ignore[arg-type]
         given = list(arguments)
         given[6] = given[6] or (lambda task: False)
-        self._plain = PlainPlanner(*given)  # type: ignore[arg-type]
+        self._plain = ReferencePlanner(*given)  # type: ignore[arg-type]
 
     def make(self, budget_s: float = float("inf")) -> Plan:
         expected = _describe(self._plain.make())
