--- a/packages/heronthread-dispatch/tests/test_owner.py
+++ b/packages/heronthread-dispatch/tests/test_owner.py
@@ -474,7 +474,7 @@
 
 @pytest.mark.parametrize("seed", range(8))
 def test_promises_hold_under_seeded_faults(seed: int) -> None:
-    """Seed 4 violates one promise, which has a test of its own (`test_stalls_after_takeover.py`)."""
+    """Seed 4 violates one promise, which `test_stalls_after_takeover.py` tests."""
     from heronthread_emulator import run_soak
     from heronthread_emulator.standing import PROMISE
 
