--- a/packages/heronthread-dispatch/src/heronthread_dispatch/victim_search.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/victim_search.py
@@ -312,5 +312,5 @@
     def begin(_: list[Offer]) -> VictimSearch:
         return begin_search(scope, criteria, losses)
 
-    search = scope.cached(("search", criteria), begin)
+    search = scope.cached(("clearing", criteria), begin)
     return begin_search(scope, criteria, losses) if search.interdependent else search
