--- a/packages/heronthread-dispatch/src/heronthread_dispatch/executors_in_use.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/executors_in_use.py
@@ -156,7 +156,7 @@
             executor.address,
             executor.pool,
             tasks,
-            state.life.born,
+            state.instance.born,
             state.is_listed_by_jobs,
             lapses_in_s,
         )
@@ -248,9 +248,9 @@
     if not isinstance(is_listed_by_jobs, bool):
         raise TypeError(f"is_listed_by_jobs of executor {name} is not a boolean")
     keys = None if tasks is None else tuple(map(_read_task, tasks))
-    life = decode_instance(name, born)
+    instance = decode_instance(name, born)
     left_s = read_remaining_s(lapses_in_s)
-    return UsedExecutor(str(address), str(pool), keys, life.born, is_listed_by_jobs, left_s)
+    return UsedExecutor(str(address), str(pool), keys, instance.born, is_listed_by_jobs, left_s)
 
 
 def _read_task(value: list[Any]) -> TaskKey:
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/uncertainty.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/uncertainty.py
@@ -51,7 +51,7 @@
 
 def is_sole_instance(state: ExecutorState) -> bool:
     """Return whether no other instance can have this id, and this one refuses earlier owners."""
-    return state.has_reported and not state.life.born
+    return state.has_reported and not state.instance.born
 
 
 def _is_unresponsive(state: ExecutorState) -> bool:
@@ -72,7 +72,7 @@
         # Where instances share an id, a new one may carry out a late start after this lease
         # expired.
         return deadlines.now < (
-            deadlines.unreported_runs_until if state.life.born else state.lease_ends_by
+            deadlines.unreported_runs_until if state.instance.born else state.lease_ends_by
         )
     if state.unresponsive_since is None:
         return False
