--- a/packages/heronthread-cli/src/heronthread_cli/cell.py
+++ b/packages/heronthread-cli/src/heronthread_cli/cell.py
@@ -7,7 +7,7 @@
 
 import trio
 from heronthread_dispatch.peer import PeerUnreachable, TcpPeers
-from heronthread_dispatch.peering import BAD_REQUEST, OK, UNSETTLED, PeerReply, call_peer
+from heronthread_dispatch.peer_messages import BAD_REQUEST, OK, UNSETTLED, PeerReply, call_peer
 from heronthread_dispatch.wire.ttypes import Operation
 
 from .exits import BadInput, CommandError, HostUnreachable
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/approval.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/approval.py
@@ -13,9 +13,9 @@
 
 import trio
 
-from .clock import lasting_time
+from .clock import boot_time
 from .events import log_event
-from .executor_link import Unanswered
+from .executor_link import NoAnswer
 from .model import ApprovalTerms, Life, TaskKey
 
 MAX_EXECUTORS_PER_REQUEST = 100
@@ -49,16 +49,16 @@
 class Approver(Protocol):
     """The service that approves executors."""
 
-    async def ask(self, question: Question) -> Approved | Unanswered:
+    async def ask(self, question: Question) -> Approved | NoAnswer:
         """Send one request."""
 
 
 class NoApprover:
     """Approves nothing, for cells without an approval service."""
 
-    async def ask(self, question: Question) -> Approved | Unanswered:
+    async def ask(self, question: Question) -> Approved | NoAnswer:
         """Return that no service is configured."""
-        return Unanswered("no approver is known", unsent=True)
+        return NoAnswer("no approver is known", unsent=True)
 
 
 @dataclass(frozen=True, slots=True)
@@ -82,7 +82,7 @@
     def find_ticket(self, step: TaskKey, life: Life) -> str | None:
         """Return a step's valid ticket for an executor instance, None if there is none."""
         ticket = self._tickets[step].get(life)
-        if ticket is None or lasting_time() >= ticket.until:
+        if ticket is None or boot_time() >= ticket.until:
             return None
         return ticket.text
 
@@ -111,10 +111,10 @@
             await self._ask(self._queue.popleft())
 
     async def _ask(self, question: Question) -> None:
-        sent = lasting_time()
+        sent = boot_time()
         outcome = await self._approver.ask(question)
         self._pending.discard(question.step)
-        if isinstance(outcome, Unanswered):
+        if isinstance(outcome, NoAnswer):
             log_event("approval.unanswered", job=question.step.job, reason=outcome.reason)
             await trio.sleep(RETRY_DELAY_S)
         else:
@@ -135,5 +135,5 @@
             step=question.step.step,
             asked=len(question.lives),
             approved=len(outcome.tickets),
-            took_s=round(lasting_time() - sent, 3),
+            took_s=round(boot_time() - sent, 3),
         )
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/clock.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/clock.py
@@ -14,6 +14,6 @@
     return time.clock_gettime(time.CLOCK_BOOTTIME) - time.clock_gettime(time.CLOCK_MONOTONIC)
 
 
-def lasting_time() -> float:
+def boot_time() -> float:
     """Return trio's time plus the suspended time (s)."""
     return trio.current_time() + suspended_s()
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/confirming.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/confirming.py
@@ -9,7 +9,7 @@
 
 import trio
 
-from .executor_link import HoldOrder, HoldOutcome, Report, Unanswered
+from .executor_link import HoldOrder, HoldOutcome, NoAnswer, Report
 from .fleet import ExecutorState
 from .owned import OwnedCell
 from .progress import UNSETTLED, Attempt, Phase
@@ -71,7 +71,7 @@
 
 def _is_unresolved(outcome: HoldOutcome) -> bool:
     """Return whether a call had no answer and may have been, or may still be, carried out."""
-    return isinstance(outcome, Unanswered) and not outcome.unsent
+    return isinstance(outcome, NoAnswer) and not outcome.unsent
 
 
 async def _confirm_stops(cell: OwnedCell, state: ExecutorState) -> None:
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/directory.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/directory.py
@@ -11,14 +11,14 @@
 
 import trio
 
-from .entries import BadEntry, DirectoryFormat, EntryFault
+from .entries import DirectoryFormat, EntryFault, InvalidEntry
+from .entry_change_log import EntryChangeLog
 from .events import RepeatedEvents, describe_life, log_event
 from .fleet import ExecutorState, make_executor
-from .keystore import Gone, Item, Listing
-from .listings import Listings
+from .keystore import Item, KeyRemoved, Listing
 from .model import DesiredState, Executor
 from .owned import OwnedCell
-from .sizes import PoolSizes
+from .pool_contents import PoolContents
 
 MAX_UNKNOWN_POOL_ITEMS = 2_000
 """Entries kept to be parsed again once a configuration names their pool; an executor beyond this
@@ -39,12 +39,12 @@
         directory: DirectoryFormat,
         begin: Callable[[ExecutorState], None],
     ) -> None:
-        self.sizes = PoolSizes()
-        self.listings = Listings(cell.term.number)
+        self.sizes = PoolContents()
+        self.listings = EntryChangeLog(cell.term.number)
         self._cell = cell
         self._format = directory
         self._begin = begin
-        self._invalid: dict[str, BadEntry] = {}
+        self._invalid: dict[str, InvalidEntry] = {}
         self._unknown_pool_items: dict[str, Item] = {}
         self._desired: DesiredState | None = None
         self._refusal_log = RepeatedEvents(REFUSAL_LOG_INTERVAL_S)
@@ -67,10 +67,10 @@
             if state.id not in present:
                 self._delist(state)
 
-    def take(self, event: Item | Gone) -> None:
+    def take(self, event: Item | KeyRemoved) -> None:
         """Apply one change."""
         executor_id = event.key.removeprefix(self._format.prefix)
-        if isinstance(event, Gone):
+        if isinstance(event, KeyRemoved):
             self._forget(executor_id)
             self.sizes.drop(executor_id, trio.current_time())
             state = self._cell.executors.get(executor_id)
@@ -78,13 +78,13 @@
                 self._delist(state)
             return
         found = self._read(executor_id, event)
-        if isinstance(found, BadEntry):
+        if isinstance(found, InvalidEntry):
             self._quarantine(executor_id, found)
         else:
             self._accept(found)
         self.listings.note_listed(executor_id, self._cell.executors.get(executor_id))
 
-    def read_again(self) -> None:
+    def retry_unknown_pools(self) -> None:
         """Parse entries of unknown pools again if the configuration has changed."""
         desired = self._cell.parts.desired()
         if desired is self._desired:
@@ -93,10 +93,10 @@
         for item in list(self._unknown_pool_items.values()):
             self.take(item)
 
-    def _read(self, executor_id: str, item: Item) -> Executor | BadEntry:
+    def _read(self, executor_id: str, item: Item) -> Executor | InvalidEntry:
         self._unknown_pool_items.pop(executor_id, None)
         found = self._format.parse(executor_id, item.value)
-        if isinstance(found, BadEntry):
+        if isinstance(found, InvalidEntry):
             return found
         state = self._cell.executors.get(executor_id)
         if state is not None and _names_another_life(state, found):
@@ -107,7 +107,7 @@
         if not self._is_known_pool(found.pool):
             if len(self._unknown_pool_items) < MAX_UNKNOWN_POOL_ITEMS:
                 self._unknown_pool_items[executor_id] = item
-            return BadEntry(EntryFault.UNKNOWN_POOL, found.pool)
+            return InvalidEntry(EntryFault.UNKNOWN_POOL, found.pool)
         return found
 
     def _probe_other_address(self, state: ExecutorState, executor: Executor) -> None:
@@ -194,7 +194,7 @@
                 "executor.draining", **describe_life(state.life), leaves_in_s=executor.leaves_in_s
             )
 
-    def _quarantine(self, executor_id: str, bad: BadEntry) -> None:
+    def _quarantine(self, executor_id: str, bad: InvalidEntry) -> None:
         """Stop new work for an executor with an invalid entry; it still counts as listed."""
         self.sizes.drop(executor_id, trio.current_time())
         state = self._cell.executors.get(executor_id)
@@ -205,7 +205,9 @@
             self._invalid[executor_id] = bad
             self._log_refusal(executor_id, bad, state)
 
-    def _log_refusal(self, executor_id: str, bad: BadEntry, state: ExecutorState | None) -> None:
+    def _log_refusal(
+        self, executor_id: str, bad: InvalidEntry, state: ExecutorState | None
+    ) -> None:
         """Log an invalid entry once for each fault and detail, and count its fault."""
         self._cell.parts.statistics.count("bad_entries", bad.fault.value)
         fields = {"executor": executor_id, "fault": bad.fault.value, "detail": bad.detail}
@@ -243,12 +245,12 @@
     return state.heard and state.life.born != 0 and executor.born != state.life.born
 
 
-def _check_life(state: ExecutorState, executor: Executor) -> Executor | BadEntry:
+def _check_life(state: ExecutorState, executor: Executor) -> Executor | InvalidEntry:
     """Return the executor if its life is later than the one that reports, else the fault."""
     if not executor.born:
-        return BadEntry(EntryFault.MISSING_FIELD, "born")
+        return InvalidEntry(EntryFault.MISSING_FIELD, "born")
     if executor.born < state.life.born:
-        return BadEntry(EntryFault.EARLIER_LIFE, str(executor.born))
+        return InvalidEntry(EntryFault.EARLIER_LIFE, str(executor.born))
     return executor
 
 
@@ -260,10 +262,10 @@
     address = state.executor.address
     if not (state.heard and executor.born) or executor.address == address:
         return False
-    return not isinstance(_check_location(state, replace(executor, address=address)), BadEntry)
+    return not isinstance(_check_location(state, replace(executor, address=address)), InvalidEntry)
 
 
-def _check_location(state: ExecutorState, executor: Executor) -> Executor | BadEntry:
+def _check_location(state: ExecutorState, executor: Executor) -> Executor | InvalidEntry:
     """Return the executor, or a fault if its address, pool or failure domain has changed.
 
     These never change within one life. At a wrong address another executor would answer, and runs
@@ -271,9 +273,9 @@
     """
     known = state.executor
     if state.heard and executor.address != known.address:
-        return BadEntry(EntryFault.OTHER_PLACE, f"address {executor.address}")
+        return InvalidEntry(EntryFault.OTHER_PLACE, f"address {executor.address}")
     if executor.pool != known.pool:
-        return BadEntry(EntryFault.OTHER_PLACE, f"pool {executor.pool}")
+        return InvalidEntry(EntryFault.OTHER_PLACE, f"pool {executor.pool}")
     if known.zone and executor.zone != known.zone:
-        return BadEntry(EntryFault.OTHER_PLACE, f"failure domain {executor.zone}")
+        return InvalidEntry(EntryFault.OTHER_PLACE, f"failure domain {executor.zone}")
     return executor
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/domains.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/domains.py
@@ -56,7 +56,7 @@
     ]
 
 
-def tell_of_limits(cell: OwnedCell) -> None:
+def log_evacuation_limits(cell: OwnedCell) -> None:
     """Log evacuations of unknown domains or of all, and guarantees that exceed what is left."""
     domains = cell.parts.evacuations.domains
     if not domains:
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/entries.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/entries.py
@@ -24,7 +24,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class BadEntry:
+class InvalidEntry:
     """An invalid entry; `detail` names the field or value at fault."""
 
     fault: EntryFault
@@ -36,4 +36,4 @@
     """The store's prefix of executors' entries, and the parser of an entry."""
 
     prefix: str
-    parse: Callable[[str, bytes], Executor | BadEntry]
+    parse: Callable[[str, bytes], Executor | InvalidEntry]
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/listings.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/entry_change_log.py
@@ -21,7 +21,7 @@
 """Removed entries whose time of removal is kept."""
 
 
-class Listings:
+class EntryChangeLog:
     """Collects entries that are removed or restored in one owner's term, and logs them."""
 
     def __init__(self, term: int) -> None:
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/evacuation.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/evacuation.py
@@ -13,7 +13,7 @@
 import trio
 
 from .events import log_event
-from .keystore import Gone, Item, Listing
+from .keystore import Item, KeyRemoved, Listing
 
 COMMAND_PREFIX = "cell/0/evacuate/"
 """Prefix of requests made by `heronthread evacuate`; the platform's operators have their own."""
@@ -112,7 +112,7 @@
             self._note_read_revision(prefix, listing.at)
         self._update_domains("store")
 
-    def take(self, event: Item | Gone) -> None:
+    def take(self, event: Item | KeyRemoved) -> None:
         """Apply one change from the store's watch."""
         prefix = self.find_prefix(event.key)
         if prefix is None:
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/evacuating.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/evacuation_command.py
@@ -15,7 +15,7 @@
 from .evacuation import COMMAND_PREFIX, describe_invalid_domain
 from .events import log_event
 from .fleet import ExecutorState
-from .keystore import CommitOutcome, Committed, Mismatch, Put, Transaction
+from .keystore import CommitOutcome, Committed, ConditionFailed, Put, Transaction
 from .owned import OwnedCell
 from .progress import UNSETTLED, Attempt, Phase
 
@@ -102,7 +102,7 @@
 
 
 def _describe_failure(outcome: CommitOutcome) -> EvacuationOutcome:
-    if isinstance(outcome, Mismatch):
+    if isinstance(outcome, ConditionFailed):
         return RequestFailed("this host owns the cell no more")
     if isinstance(outcome, Unknown):
         return Unconfirmed(f"the store may have taken it: {outcome.reason}")
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/events.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/events.py
@@ -1,4 +1,4 @@
-"""Structured log events through eliot, which `lines` writes as JSON."""
+"""Structured log events through eliot, which `log_writer` writes as JSON."""
 
 from __future__ import annotations
 
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/executor_link.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/executor_link.py
@@ -109,7 +109,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Obeyed:
+class Acknowledged:
     """The order took effect, now or before."""
 
 
@@ -126,20 +126,20 @@
 
 
 @dataclass(frozen=True, slots=True)
-class OtherLife:
+class InstanceEnded:
     """The addressed life of the executor has ended, and none of its runs remain."""
 
 
 @dataclass(frozen=True, slots=True)
-class Unanswered:
+class NoAnswer:
     """The order may have taken effect or may yet, unless `unsent`."""
 
     reason: str
     unsent: bool = False
 
 
-OrderOutcome = Obeyed | Refused | Unhealthy | OtherLife | Unanswered
-HoldOutcome = Report | Refused | Unhealthy | OtherLife | Unanswered
+OrderOutcome = Acknowledged | Refused | Unhealthy | InstanceEnded | NoAnswer
+HoldOutcome = Report | Refused | Unhealthy | InstanceEnded | NoAnswer
 
 
 class ExecutorLink(Protocol):
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/host.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/host.py
@@ -8,7 +8,8 @@
 
 import trio
 
-from .evacuating import (
+from .evacuation import COMMAND_PREFIX
+from .evacuation_command import (
     CONFIRM_TIMEOUT_S,
     EvacuationOutcome,
     InForce,
@@ -16,19 +17,18 @@
     RequestRejected,
     set_evacuation,
 )
-from .evacuation import COMMAND_PREFIX
 from .events import log_event
-from .follow import Follower
+from .host_lease import HostRecord
 from .host_state import HostParts, HostSettings, HostState
 from .intake import NoSuchJob, NotTaken, PendingWrite, Taken
-from .keystore import Gone, Item, Listing
-from .loop import LoopWatch
+from .keystore import Item, KeyRemoved, Listing
+from .loop_lag import LoopLagMonitor
 from .model import JobSpec
 from .news import NewsExchange
 from .overview import describe_cell, describe_job
 from .owned import OwnerParts
 from .owner import JobView, Owner
-from .peering import (
+from .peer_messages import (
     BAD_REQUEST,
     CALL_S,
     NOT_HERE,
@@ -44,12 +44,12 @@
     encode_record,
     make_reply,
 )
+from .pool_contents import encode_kinds
+from .prefix_watcher import PrefixWatcher
 from .record import MALFORMED, Unreadable
 from .relay import StoreRelay, write_for_peer
 from .requests import Requests
-from .sizes import encode_kinds
 from .succession import RANK_DELAY_S, find_stronger, rank
-from .tenure import Presence
 from .wire.ttypes import Frame
 
 CONTEND_S = 0.05
@@ -74,7 +74,7 @@
     def __init__(self, settings: HostSettings, parts: HostParts) -> None:
         super().__init__(settings, parts)
         self.is_draining = False
-        self.loop = LoopWatch(self.statistics)
+        self.loop = LoopLagMonitor(self.statistics)
         self._owner_lost_at = 0.0
         self._owner_lost = trio.Event()
         self._handed_over_at = float("-inf")
@@ -90,18 +90,20 @@
 
     async def run(self) -> None:
         """Run until cancelled."""
-        configuration = Follower(
+        configuration = PrefixWatcher(
             self.store,
             self.parts.configuration.prefix,
             self._apply_operator_listing,
             self._apply_operator_change,
         )
-        cell = Follower(self.store, CELL_PREFIX, self._apply_cell_listing, self._apply_cell_change)
+        cell = PrefixWatcher(
+            self.store, CELL_PREFIX, self._apply_cell_listing, self._apply_cell_change
+        )
         async with trio.open_nursery() as nursery:
             self._nursery = nursery
             nursery.start_soon(configuration.run)
             nursery.start_soon(cell.run)
-            nursery.start_soon(self.tenure.run)
+            nursery.start_soon(self.host_lease.run)
             nursery.start_soon(self.loop.run)
             nursery.start_soon(self._contend)
             nursery.start_soon(self.news.run, nursery)
@@ -110,11 +112,11 @@
     async def stop(self) -> None:
         """Begin a graceful shutdown: release the cell, but still answer requests."""
         self.is_draining = True
-        self.tenure.is_stopping = True
+        self.host_lease.is_stopping = True
         if self.owner is not None:
             self.owner.depose()
         with trio.move_on_after(1.0):
-            await self.tenure.release()
+            await self.host_lease.release()
 
     # Configuration and membership
 
@@ -125,11 +127,11 @@
         for item in listing.items:
             self._apply_configuration(item)
 
-    def _apply_operator_change(self, event: Item | Gone) -> None:
+    def _apply_operator_change(self, event: Item | KeyRemoved) -> None:
         self.evacuations.take(event)
         self._apply_configuration(event)
 
-    def _apply_configuration(self, event: Item | Gone) -> None:
+    def _apply_configuration(self, event: Item | KeyRemoved) -> None:
         if isinstance(event, Item) and event.key == self.parts.configuration.key:
             self.configuration.offer(event.value, "store")
 
@@ -144,37 +146,37 @@
         for item in listing.items:
             self._apply_cell_change(item)
 
-    def _apply_cell_change(self, event: Item | Gone) -> None:
+    def _apply_cell_change(self, event: Item | KeyRemoved) -> None:
         if event.key == OWNER_KEY:
             self._update_owner(event if isinstance(event, Item) else None)
         elif event.key.startswith(COMMAND_PREFIX):
             self.evacuations.take(event)
         elif event.key.startswith(HOST_PREFIX):
             name = event.key.removeprefix(HOST_PREFIX)
-            if isinstance(event, Gone):
+            if isinstance(event, KeyRemoved):
                 self.members.pop(name, None)
             else:
                 self._update_member(name, event)
 
     def _update_member(self, name: str, item: Item) -> None:
-        presence = Presence.decode(item.value)
-        if isinstance(presence, Unreadable):
-            log_event("record.unreadable", key=item.key, reason=presence.reason)
+        host_record = HostRecord.decode(item.value)
+        if isinstance(host_record, Unreadable):
+            log_event("record.unreadable", key=item.key, reason=host_record.reason)
             return
-        self.members[name] = presence
+        self.members[name] = host_record
 
     def _update_owner(self, item: Item | None) -> None:
-        presence = Presence.decode(item.value) if item is not None else None
-        if isinstance(presence, Unreadable):
-            log_event("record.unreadable", key=OWNER_KEY, reason=presence.reason)
-            presence = None
-        if presence is None and self.known_owner is not None:
+        host_record = HostRecord.decode(item.value) if item is not None else None
+        if isinstance(host_record, Unreadable):
+            log_event("record.unreadable", key=OWNER_KEY, reason=host_record.reason)
+            host_record = None
+        if host_record is None and self.known_owner is not None:
             self._owner_lost_at = trio.current_time()
             self._owner_lost.set()
             self._owner_lost = trio.Event()
-        if presence != self.known_owner:
-            log_event("owner.seen", owner=presence.host if presence else None)
-        self.known_owner = presence
+        if host_record != self.known_owner:
+            log_event("owner.seen", owner=host_record.host if host_record else None)
+        self.known_owner = host_record
         self._owner_key_item = item
 
     # Ownership
@@ -190,25 +192,27 @@
                 continue
             held = self._owner_key_item
             if held is None:
-                place = rank(self.tenure.presence, self.members, self._owner_lost_at)
+                place = rank(self.host_lease.host_record, self.members, self._owner_lost_at)
                 await trio.sleep(RANK_DELAY_S * place)
                 if self.known_owner is not None:
                     continue
-            term = await self.tenure.try_acquire(held)
+            term = await self.host_lease.try_acquire(held)
             if term is None:
                 await trio.sleep(CONTEND_S * 4)
                 continue
-            self.known_owner = self.tenure.presence
+            self.known_owner = self.host_lease.host_record
             self.owner = Owner(self._make_owner_parts(), term)
             await self._own(self.owner)
             self.owner = None
 
     def _may_contend(self) -> bool:
         """Whether to try for ownership: the cell is free, or held by a past run of this host."""
-        if self.is_draining or not self.configuration.is_known or not self.tenure.is_valid:
+        if self.is_draining or not self.configuration.is_known or not self.host_lease.is_valid:
             return False
         held = self._owner_key_item
-        return self.known_owner is None if held is None else self.tenure.is_held_by_this_host(held)
+        return (
+            self.known_owner is None if held is None else self.host_lease.is_held_by_this_host(held)
+        )
 
     def _make_owner_parts(self) -> OwnerParts:
         return OwnerParts(
@@ -237,15 +241,15 @@
             await owner.run()
             nursery.cancel_scope.cancel()
         if not self.is_draining:
-            await self.tenure.release()
-        if self.known_owner == self.tenure.presence:
+            await self.host_lease.release()
+        if self.known_owner == self.host_lease.host_record:
             self.known_owner = None
 
     async def _guard(self, owner: Owner) -> None:
         """Depose the local owner once it may no longer send orders."""
         while True:
             await trio.sleep(0.05)
-            if self.tenure.lease is None or not self._may_send_orders():
+            if self.host_lease.lease is None or not self._may_send_orders():
                 owner.depose()
                 return
 
@@ -253,7 +257,7 @@
         """End the term if a clearly stronger host exists and this one is idle or overloaded."""
         while True:
             await trio.sleep(SUCCESSION_CHECK_S)
-            stronger = find_stronger(self.tenure.presence, self.members)
+            stronger = find_stronger(self.host_lease.host_record, self.members)
             recent = trio.current_time() - self._handed_over_at < MIN_HANDOVER_INTERVAL_S
             if stronger is None or recent or not owner.is_settled:
                 continue
@@ -271,7 +275,7 @@
             return
 
     def _may_send_orders(self) -> bool:
-        return self.tenure.is_valid or self.news.is_outage_agreed()
+        return self.host_lease.is_valid or self.news.is_outage_agreed()
 
     def render_statistics(self) -> str:
         """Return this host's metrics as text."""
@@ -324,7 +328,7 @@
             count = self.owner.count_pending(body["queue"]) if self.owner else None
             return (OK, {"count": count}) if count is not None else (NOT_HERE, {})
         if operation == Operation.NOTE_JOB:
-            if self.owner is not None and self.tenure.is_valid:
+            if self.owner is not None and self.host_lease.is_valid:
                 self.owner.note_job(decode_record(body))
             return OK, {}
         if operation == Operation.RELAY_WRITE:
@@ -337,7 +341,7 @@
 
     def _check_placement(self, spec: JobSpec) -> tuple[int, dict[str, Any]]:
         """Return whether a job can ever be placed; only the owner, with a valid lease, can tell."""
-        if self.owner is None or not self.owner.is_ready or not self.tenure.is_valid:
+        if self.owner is None or not self.owner.is_ready or not self.host_lease.is_valid:
             return NOT_HERE, {}
         reason, kinds = self.owner.check_fit(spec)
         return OK, {"reason": reason, "kinds": encode_kinds(kinds)}
@@ -348,12 +352,12 @@
         """Answer an operator's query, or forward it to the owner."""
         owner = self.owner
         if owner is None or not owner.is_ready:
-            presence = self.known_owner
-            if presence is None or presence.host == self.settings.name or body.get("passed"):
+            host_record = self.known_owner
+            if host_record is None or host_record.host == self.settings.name or body.get("passed"):
                 return NOT_TAKEN, {"reason": "no owner is known"}
             asked = {**body, "passed": True}
             limit_s = EVACUATE_S if operation == Operation.EVACUATE else CALL_S
-            reply = await self.ask_peer(presence.address, operation, asked, limit_s)
+            reply = await self.ask_peer(host_record.address, operation, asked, limit_s)
             if isinstance(reply, PeerReply):
                 return reply.status, reply.body
             return NOT_TAKEN, {"reason": reply.reason}
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/tenure.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/host_lease.py
@@ -8,15 +8,15 @@
 import trio
 from heronthread_coordination import Unavailable, Unknown
 
-from .clock import lasting_time
+from .clock import boot_time
 from .events import log_event
 from .keystore import (
     Committed,
+    ConditionFailed,
     Item,
     KeyStore,
+    LeaseExpired,
     LeaseHeld,
-    LeaseOver,
-    Mismatch,
     Missing,
     Put,
     Transaction,
@@ -38,7 +38,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Presence:
+class HostRecord:
     """A host's record in the store: its name, address and strength."""
 
     host: str
@@ -51,7 +51,7 @@
         return json.dumps(value).encode()
 
     @classmethod
-    def decode(cls, data: bytes) -> Presence | Unreadable:
+    def decode(cls, data: bytes) -> HostRecord | Unreadable:
         """Read the stored form; records of older hosts lack the strength."""
         try:
             value = json.loads(data)
@@ -69,19 +69,19 @@
     guard: tuple[str, int]
 
 
-class Tenure:
+class HostLease:
     """Keeps this process's lease and member key, and takes ownership of the cell.
 
     The lease counts from before its renewal was sent, on a suspend-aware clock, and is treated as
     expired `EXPIRY_MARGIN_S` early.
     """
 
-    def __init__(self, store: KeyStore, presence: Presence, cell: str = "0") -> None:
+    def __init__(self, store: KeyStore, host_record: HostRecord, cell: str = "0") -> None:
         self._store = store
-        self.presence = presence
+        self.host_record = host_record
         self.owner_key = f"cell/{cell}/owner"
         self._term_key = f"term/{cell}"
-        self._member_key = f"cell/{cell}/host/{presence.host}"
+        self._member_key = f"cell/{cell}/host/{host_record.host}"
         self.lease: int | None = None
         self.until = float("-inf")
         self.last_renewed = float("-inf")
@@ -92,7 +92,7 @@
     @property
     def is_valid(self) -> bool:
         """Whether the lease is certainly still valid."""
-        return self.lease is not None and lasting_time() < self.until
+        return self.lease is not None and boot_time() < self.until
 
     async def run(self) -> None:
         """Keep a lease, and acquire a new one after each loss, until cancelled."""
@@ -105,11 +105,11 @@
             await self._renew()
 
     async def _acquire(self) -> bool:
-        sent = lasting_time()
+        sent = boot_time()
         granted = await self._store.grant(LEASE_S)
         if not isinstance(granted, LeaseHeld):
             return False
-        put = Put(self._member_key, self.presence.encode(), granted.lease)
+        put = Put(self._member_key, self.host_record.encode(), granted.lease)
         outcome = await self._store.commit(Transaction(puts=(put,)))
         if not isinstance(outcome, Committed):
             # A delayed write would bind the member key to this lease instead of the next.
@@ -129,14 +129,14 @@
         lease = self.lease
         if lease is None:
             return
-        sent = lasting_time()
+        sent = boot_time()
         outcome = await self._store.renew(lease)
         if self.lease != lease:
             return
         if isinstance(outcome, LeaseHeld):
             self._extend(sent)
-        elif isinstance(outcome, LeaseOver):
-            log_event("lease.over", host=self.presence.host, lease=lease)
+        elif isinstance(outcome, LeaseExpired):
+            log_event("lease.over", host=self.host_record.host, lease=lease)
             self.drop()
 
     def drop(self) -> None:
@@ -154,10 +154,10 @@
 
     def is_held_by_this_host(self, held: Item) -> bool:
         """Whether an owner key names this host, in this or an earlier process."""
-        found = Presence.decode(held.value)
+        found = HostRecord.decode(held.value)
         if isinstance(found, Unreadable):
             return False
-        return (found.host, found.address) == (self.presence.host, self.presence.address)
+        return (found.host, found.address) == (self.host_record.host, self.host_record.address)
 
     async def try_acquire(self, held: Item | None = None) -> Term | None:
         """Try to take ownership of the cell; None if that failed.
@@ -169,7 +169,7 @@
             return None
         if held is not None and held.lease == lease:
             # An earlier write took the cell but its answer was lost, so release it.
-            log_event("owner.unclaimed", host=self.presence.host, revision=held.revision)
+            log_event("owner.unclaimed", host=self.host_record.host, revision=held.revision)
             await self.release()
             return None
         current = await self._store.read(self._term_key)
@@ -179,17 +179,17 @@
         transaction = Transaction(
             ((self.owner_key, held.revision if held else 0), (self._term_key, revision)),
             (
-                Put(self.owner_key, self.presence.encode(), lease),
+                Put(self.owner_key, self.host_record.encode(), lease),
                 Put(self._term_key, str(number + 1).encode()),
             ),
         )
         outcome = await self._store.commit(transaction)
         if isinstance(outcome, Committed):
-            log_event("owner.taken", host=self.presence.host, term=number + 1)
+            log_event("owner.taken", host=self.host_record.host, term=number + 1)
             return Term(number + 1, (self.owner_key, outcome.revision))
         if isinstance(outcome, Unknown):
             await self._release_after_unknown()
-        elif not isinstance(outcome, Mismatch | Unavailable):
+        elif not isinstance(outcome, ConditionFailed | Unavailable):
             self.drop()
         return None
 
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/host_state.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/host_state.py
@@ -14,17 +14,17 @@
 from .evacuation import Evacuations
 from .events import RepeatedEvents
 from .executor_link import ExecutorLink
+from .host_lease import HostLease, HostRecord, Strength
 from .keystore import KeyStore
-from .observed import ObservedStore
+from .observed_store import ObservedStore
 from .owned import Timing
 from .owner import Owner
 from .peer import Peers, PeerUnreachable
-from .peering import CALL_S, MalformedReply, PeerReply, call_peer
+from .peer_messages import CALL_S, MalformedReply, PeerReply, call_peer
 from .policy import DEFAULT_POLICY, Policy
 from .record import MALFORMED
 from .stands import KnownStands
 from .statistics import Statistics
-from .tenure import Presence, Strength, Tenure
 
 Read = TypeVar("Read")
 
@@ -63,11 +63,11 @@
         self.store = ObservedStore(parts.store)
         self.configuration = ConfigurationInForce(parts.configuration)
         self.evacuations = Evacuations(parts.configuration.evacuations)
-        presence = Presence(settings.name, settings.peer_address, settings.strength)
-        self.tenure = Tenure(self.store, presence)
-        self.members: dict[str, Presence] = {}
+        host_record = HostRecord(settings.name, settings.peer_address, settings.strength)
+        self.host_lease = HostLease(self.store, host_record)
+        self.members: dict[str, HostRecord] = {}
         self.owner: Owner | None = None
-        self.known_owner: Presence | None = None
+        self.known_owner: HostRecord | None = None
         self.statistics = Statistics()
         self.stands = KnownStands()
         self._malformed = RepeatedEvents()
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/intake.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/intake.py
@@ -10,11 +10,11 @@
 
 from .keystore import (
     Committed,
+    ConditionFailed,
     Item,
     KeyStore,
+    LeaseExpired,
     LeaseHeld,
-    LeaseOver,
-    Mismatch,
     Missing,
     Put,
     ReadOutcome,
@@ -28,7 +28,7 @@
 the store may delay a write."""
 ROUTE_PAUSE_S = 0.03
 """Pause between two routes; three immediate rejections still take less than 0.1 s."""
-COME_BACK_S = 1.0
+DEFAULT_RETRY_AFTER_S = 1.0
 """Default `Retry-After`; its smallest value, as the store and the owner recover within seconds."""
 
 
@@ -44,7 +44,7 @@
     """The request had no effect and never will; retry after `retry_after_s`."""
 
     reason: str
-    retry_after_s: float = COME_BACK_S
+    retry_after_s: float = DEFAULT_RETRY_AFTER_S
 
 
 @dataclass(frozen=True, slots=True)
@@ -83,7 +83,7 @@
     pending_write.is_open = False
     if isinstance(outcome, Committed):
         return Taken(record)
-    if isinstance(outcome, Mismatch):
+    if isinstance(outcome, ConditionFailed):
         item = outcome.items.get(put.key)
         return _read_existing(item) if item else Taken(record)
     return _describe_failure(outcome)
@@ -154,7 +154,7 @@
         pending_write.is_open = False
         if isinstance(outcome, Committed):
             return Taken(record)
-        if not isinstance(outcome, Mismatch):
+        if not isinstance(outcome, ConditionFailed):
             return _describe_failure(outcome)
         found = outcome.items.get(key)
         item = found if isinstance(found, Item) else Missing()
@@ -178,9 +178,9 @@
     if isinstance(outcome, Committed):
         return NoSuchJob()
     await store.revoke(granted.lease)
-    if isinstance(outcome, Mismatch) and key in outcome.items:
+    if isinstance(outcome, ConditionFailed) and key in outcome.items:
         return outcome.items[key]
-    if isinstance(outcome, Mismatch | LeaseOver):
+    if isinstance(outcome, ConditionFailed | LeaseExpired):
         return NotTaken("the job's key has changed meanwhile")
     return _describe_failure(outcome)
 
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/keystore.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/keystore.py
@@ -24,7 +24,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Gone:
+class KeyRemoved:
     """The removal of a key at a revision."""
 
     key: str
@@ -43,12 +43,12 @@
 class Events:
     """Changes under a prefix; the next watch continues from revision `at`."""
 
-    events: tuple[Item | Gone, ...]
+    events: tuple[Item | KeyRemoved, ...]
     at: int
 
 
 @dataclass(frozen=True, slots=True)
-class HistoryLost:
+class HistoryCompacted:
     """The requested history was compacted: everything must be read again."""
 
 
@@ -78,14 +78,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Mismatch:
+class ConditionFailed:
     """A condition failed and nothing was written; `items` are the current values of its keys."""
 
     items: dict[str, Item] = field(default_factory=dict)
 
 
 @dataclass(frozen=True, slots=True)
-class LeaseOver:
+class LeaseExpired:
     """The lease has expired, and nothing was written."""
 
 
@@ -103,8 +103,8 @@
 
 
 ReadOutcome = Item | Missing | Unavailable
-CommitOutcome = Committed | Mismatch | LeaseOver | Unavailable | Unknown
-WatchOutcome = Events | HistoryLost | Unavailable
+CommitOutcome = Committed | ConditionFailed | LeaseExpired | Unavailable | Unknown
+WatchOutcome = Events | HistoryCompacted | Unavailable
 
 
 class KeyStore(Protocol):
@@ -125,7 +125,7 @@
     async def grant(self, duration_s: float) -> LeaseHeld | Unavailable | Unknown:
         """Create a lease."""
 
-    async def renew(self, lease: int) -> LeaseHeld | LeaseOver | Unavailable | Unknown:
+    async def renew(self, lease: int) -> LeaseHeld | LeaseExpired | Unavailable | Unknown:
         """Renew a lease."""
 
     async def revoke(self, lease: int) -> None:
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/lines.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/log_writer.py
@@ -47,7 +47,7 @@
 
 
 @dataclass(slots=True)
-class LineWriter:
+class LogWriter:
     """Eliot destination that writes JSON lines; each names its `host`, so that logs can be merged.
 
     `dropped` counts the lines of each kind that were never written.
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/loop.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/loop_lag.py
@@ -20,7 +20,7 @@
 LOG_INTERVAL_S = 2.0
 
 
-class LoopWatch:
+class LoopLagMonitor:
     """Measures the lag of a timer, and keeps the readings of the last `WINDOW_S`."""
 
     def __init__(self, statistics: Statistics) -> None:
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/news.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/news.py
@@ -9,10 +9,10 @@
 import trio
 from heronthread_coordination import is_store_down_for_all
 
-from .clock import lasting_time
+from .clock import boot_time
 from .events import log_event
 from .host_state import HostState
-from .peering import (
+from .peer_messages import (
     OK,
     News,
     Operation,
@@ -53,7 +53,7 @@
         self._is_fetching = False
 
     def _forget_old(self) -> None:
-        since = lasting_time() - NEWS_EXPIRY_S
+        since = boot_time() - NEWS_EXPIRY_S
         self.heard = {name: heard for name, heard in self.heard.items() if heard.at >= since}
 
     def make(self) -> News:
@@ -86,17 +86,17 @@
 
     def _find_peer(self, matches: Callable[[News], bool]) -> str | None:
         """Return the address of a random peer whose recent news matches."""
-        since = lasting_time() - 2 * FRESH_S
+        since = boot_time() - 2 * FRESH_S
         heard = [heard.news for heard in self.heard.values() if heard.at >= since]
         found = [news.address for news in heard if matches(news)]
         return random.choice(found) if found else None
 
     def is_outage_agreed(self) -> bool:
         """Whether the lease could not be renewed because no host reaches the store."""
-        now = lasting_time()
-        if self._host.tenure.lease is None or self._host.store.is_answering:
+        now = boot_time()
+        if self._host.host_lease.lease is None or self._host.store.is_answering:
             return False
-        if now - self._host.tenure.last_renewed > OUTAGE_LIMIT_S:
+        if now - self._host.host_lease.last_renewed > OUTAGE_LIMIT_S:
             return False
         fresh = [heard.news for heard in self.heard.values() if now - heard.at <= FRESH_S]
         own_term = self._host.owner.cell.term.number if self._host.owner else 0
@@ -153,7 +153,7 @@
         if news is None:
             self._host.note_malformed(Operation.NEWS, "", "malformed news")
             return
-        self.heard[news.host] = HeardNews(news, lasting_time())
+        self.heard[news.host] = HeardNews(news, boot_time())
         self._host.evacuations.merge_encoded(news.evacuations, news.host)
         if news.version > self._host.configuration.state.version:
             await self._fetch_configuration()
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/observed.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/observed_store.py
@@ -12,8 +12,8 @@
 from .keystore import (
     CommitOutcome,
     KeyStore,
+    LeaseExpired,
     LeaseHeld,
-    LeaseOver,
     Listing,
     ReadOutcome,
     Transaction,
@@ -128,7 +128,7 @@
         """Create a lease."""
         return await self._observe("grant", self._store.grant(duration_s))
 
-    async def renew(self, lease: int) -> LeaseHeld | LeaseOver | Unavailable | Unknown:
+    async def renew(self, lease: int) -> LeaseHeld | LeaseExpired | Unavailable | Unknown:
         """Renew a lease."""
         return await self._observe("renew", self._store.renew(lease))
 
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/orders.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/orders.py
@@ -7,23 +7,23 @@
 import trio
 from heronthread_coordination import Measure
 
-from .contact import wait_answered
 from .crashes import YOUNG_S
 from .events import describe_run, log_event
 from .executor_link import (
-    Obeyed,
+    Acknowledged,
+    InstanceEnded,
+    NoAnswer,
     OrderOutcome,
-    OtherLife,
     Refusal,
     Refused,
     StartOrder,
     StopOrder,
-    Unanswered,
     Unhealthy,
 )
 from .fleet import ExecutorState
 from .owned import OwnedCell
 from .plan import Start
+from .probing import wait_for_reports
 from .progress import Attempt, Phase, list_pending_starts, to_open_start
 
 START_TRIES = 3
@@ -110,7 +110,7 @@
         executors = [start.executor for start, _ in orders]
         # Probe first: the next owner would withhold the job from an unresponsive executor on
         # record.
-        if not await wait_answered(executors, self.cell.executors.values()):
+        if not await wait_for_reports(executors, self.cell.executors.values()):
             self._abandon_unsent(orders, "its executor has not answered a look")
             return
         if not await self._name_places(orders):
@@ -182,9 +182,9 @@
             outcome = await self.cell.parts.link.start(state.executor, order)
             attempt.is_on_its_way = False
             self._log_send("start", attempt, attempt.sends, now, outcome)
-            if not isinstance(outcome, Unanswered) or outcome.unsent:
+            if not isinstance(outcome, NoAnswer) or outcome.unsent:
                 self.cell.late_starts.settle(attempt, open_until)
-            if not isinstance(outcome, Unanswered):
+            if not isinstance(outcome, NoAnswer):
                 self._settle_start(start, attempt, outcome)
                 return
             attempt.unanswered += not outcome.unsent
@@ -247,7 +247,7 @@
     def _settle_start(self, start: Start, attempt: Attempt, outcome: OrderOutcome) -> None:
         now = trio.current_time()
         state = start.executor
-        if isinstance(outcome, Obeyed):
+        if isinstance(outcome, Acknowledged):
             if not start.job.begun:
                 start.job.begun = True
                 self.cell.recorder.mark(start.job)
@@ -292,7 +292,7 @@
         """Update an executor's state after it refused an order."""
         if isinstance(outcome, Unhealthy):
             state.note_bad(now)
-        elif isinstance(outcome, OtherLife):
+        elif isinstance(outcome, InstanceEnded):
             state.mark_ended()
         elif isinstance(outcome, Refused) and outcome.reason is Refusal.NOT_APPROVED:
             self.cell.approvals.drop(attempt.task._replace(member=0), state.life)
@@ -335,7 +335,7 @@
     ) -> None:
         """Count a send of an order, and log it unless the first one was acknowledged."""
         self.cell.parts.statistics.count("orders", f"{order} {_describe_outcome(outcome)}")
-        if number == 1 and isinstance(outcome, Obeyed):
+        if number == 1 and isinstance(outcome, Acknowledged):
             return
         log_event(
             "order.sent",
@@ -349,14 +349,14 @@
         )
 
     def _settle_stop(self, attempt: Attempt, state: ExecutorState, outcome: OrderOutcome) -> bool:
-        if isinstance(outcome, Obeyed):
+        if isinstance(outcome, Acknowledged):
             attempt.settled_at = trio.current_time()
             self.cell.late_starts.mark_refused(attempt.life, attempt.task, attempt.run)
             state.wake.set()
             if not attempt.seen:
                 state.stop_settled.set()
             return True
-        if isinstance(outcome, OtherLife):
+        if isinstance(outcome, InstanceEnded):
             state.mark_ended()
             return True
         if isinstance(outcome, Refused) and outcome.reason is Refusal.FENCED:
@@ -374,9 +374,9 @@
 
 
 def _describe_outcome(outcome: OrderOutcome) -> str:
-    if isinstance(outcome, Obeyed):
+    if isinstance(outcome, Acknowledged):
         return "obeyed"
-    if isinstance(outcome, Unanswered):
+    if isinstance(outcome, NoAnswer):
         return "not sent" if outcome.unsent else "no answer"
     if isinstance(outcome, Refused):
         return outcome.reason.value
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/owned.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/owned.py
@@ -17,6 +17,7 @@
 from .events import describe_run, log_event
 from .executor_link import EndedRun, EndKind, ExecutorLink
 from .fleet import MAX_BACKOFF_S, ExecutorState
+from .host_lease import Term
 from .keystore import KeyStore
 from .late_starts import MAX_ORDER_DELAY_S, LateStarts
 from .model import NOTHING, DesiredState, OpenStart, TaskKey
@@ -37,7 +38,6 @@
 from .stands import KnownStands
 from .statistics import Statistics
 from .task_names import Names, keep, unite
-from .tenure import Term
 
 JOB_PREFIX = "job/"
 STALE_OWNER_S = 1.2
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/owner.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/owner.py
@@ -10,18 +10,19 @@
 from heronthread_coordination import Measure, Unavailable
 
 from .directory import Directory
-from .domains import tell_of_limits
+from .domains import log_evacuation_limits
 from .events import describe_life, log_event
 from .fleet import ExecutorState
-from .follow import Follower
-from .housekeeping import Housekeeping
-from .keystore import Gone, Item, Listing
+from .host_lease import Term
+from .keystore import Item, KeyRemoved, Listing
 from .model import JobSpec
 from .orders import Orders
 from .owned import JOB_PREFIX, OwnedCell, OwnerParts
 from .peaks import RecentPeaks
 from .plan import Plan
 from .planner import Planner
+from .pool_contents import Kind, find_misfit
+from .prefix_watcher import PrefixWatcher
 from .progress import JobState
 from .record import (
     JobRecord,
@@ -31,11 +32,10 @@
     decode_progress,
 )
 from .recorder import PROGRESS_PREFIX, Deposed, progress_key
-from .retention import remove_old_jobs
-from .sizes import Kind, find_misfit
+from .retention import remove_expired_jobs
+from .run_monitor import RunMonitor
 from .spares import Spares
 from .stands import JobStand
-from .tenure import Term
 from .used import USED_KEY, UsedExecutors
 from .waiting import WaitWatch, describe_silences
 from .watching import ExecutorWatch
@@ -101,8 +101,10 @@
         """Take over, then plan until deposed."""
         started = trio.current_time()
         with self._scope:
-            jobs = Follower(self.parts.store, JOB_PREFIX, self._load_jobs, self._apply_job_event)
-            directory = Follower(
+            jobs = PrefixWatcher(
+                self.parts.store, JOB_PREFIX, self._load_jobs, self._apply_job_event
+            )
+            directory = PrefixWatcher(
                 self.parts.store,
                 self.parts.directory.prefix,
                 self.directory.take_listing,
@@ -123,7 +125,7 @@
             await self._work(jobs, directory)
         self.is_ready = False
 
-    async def _work(self, jobs: Follower, directory: Follower) -> None:
+    async def _work(self, jobs: PrefixWatcher, directory: PrefixWatcher) -> None:
         try:
             async with trio.open_nursery() as nursery:
                 self._nursery = nursery
@@ -136,8 +138,8 @@
                 nursery.start_soon(directory.run)
                 nursery.start_soon(self._used_executors.run)
                 nursery.start_soon(self._follow_evacuations)
-                nursery.start_soon(Housekeeping(self.cell).run)
-                nursery.start_soon(remove_old_jobs, self.cell)
+                nursery.start_soon(RunMonitor(self.cell).run)
+                nursery.start_soon(remove_expired_jobs, self.cell)
                 nursery.start_soon(self.cell.approvals.run)
                 nursery.start_soon(self.waits.run)
                 nursery.start_soon(Spares(self.cell).run)
@@ -151,7 +153,7 @@
 
     # Taking over
 
-    async def _load(self, jobs: Follower, directory: Follower) -> None:
+    async def _load(self, jobs: PrefixWatcher, directory: PrefixWatcher) -> None:
         """Read the whole state concurrently, then apply it.
 
         All reads begin after the owner key was acquired, so no earlier owner writes any more.
@@ -324,7 +326,7 @@
         while True:
             changed = evacuations.changed
             self.cell.note_evacuations()
-            tell_of_limits(self.cell)
+            log_evacuation_limits(self.cell)
             await changed.wait()
 
     # Jobs
@@ -333,7 +335,7 @@
         for item in listing.items:
             self._apply_job_event(item)
 
-    def _apply_job_event(self, event: Item | Gone) -> None:
+    def _apply_job_event(self, event: Item | KeyRemoved) -> None:
         if not isinstance(event, Item):
             return
         record = decode_job(event.value)
@@ -398,7 +400,7 @@
     async def _plan(self) -> float:
         """Make a plan and carry it out in parts; return the delay (s) until the next one."""
         now = trio.current_time()
-        self.directory.read_again()
+        self.directory.retry_unknown_pools()
         self.directory.listings.tell()
         planner = Planner(
             self.cell.active.values(),
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/fitting.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/placement_check.py
@@ -9,9 +9,9 @@
 
 from .host_state import HostState
 from .model import JobSpec
-from .peering import OK, Operation, PeerReply, encode_record
+from .peer_messages import OK, Operation, PeerReply, encode_record
+from .pool_contents import Kind, decode_kinds, find_misfit
 from .record import JobRecord
-from .sizes import Kind, decode_kinds, find_misfit
 
 QUERY_TIMEOUT_S = 0.3
 """Timeout of a placement query; a tenth of the callers' default timeout."""
@@ -29,7 +29,7 @@
     kinds: list[Kind]
 
 
-class Fitting:
+class PlacementCheck:
     """Finds jobs that can never be placed before they are accepted.
 
     Only the owner decides that a job can't be placed. The cached pool contents only save queries
@@ -61,15 +61,15 @@
         return trio.current_time() - cached_at < CACHE_S and not find_misfit(kinds, spec, pool)
 
     async def _ask_owner(self, spec: JobSpec) -> Fit | None:
-        presence = self._host.known_owner
-        if presence is None or trio.current_time() < self._paused_until:
+        host_record = self._host.known_owner
+        if host_record is None or trio.current_time() < self._paused_until:
             return None
         body = encode_record(JobRecord(replace(spec, payload="")))
         reply = await self._host.ask_peer(
-            presence.address, Operation.JOB_FIT, body, QUERY_TIMEOUT_S
+            host_record.address, Operation.JOB_FIT, body, QUERY_TIMEOUT_S
         )
         if isinstance(reply, PeerReply) and reply.status == OK:
-            return self._host.read_reply(reply, Operation.JOB_FIT, presence.address, _decode_fit)
+            return self._host.read_reply(reply, Operation.JOB_FIT, host_record.address, _decode_fit)
         self._paused_until = trio.current_time() + QUERY_PAUSE_S
         return None
 
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/sizes.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/pool_contents.py
@@ -32,7 +32,7 @@
     removed_at: float | None = None
 
 
-class PoolSizes:
+class PoolContents:
     """Tracks the executors of one owner's term, including recently removed ones.
 
     A pool that reaches a new maximum of executors is still growing, so it is not judged until it
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/follow.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/prefix_watcher.py
@@ -8,14 +8,14 @@
 import trio
 from heronthread_coordination import Unavailable
 
-from .keystore import Gone, HistoryLost, Item, KeyStore, Listing
+from .keystore import HistoryCompacted, Item, KeyRemoved, KeyStore, Listing
 
 WATCH_S = 2.5
 RETRY_PAUSE_S = 0.15
 
 
 @dataclass(slots=True)
-class Follower:
+class PrefixWatcher:
     """Calls `on_listing` with all items under a prefix and `on_change` with each later change.
 
     `at` is the revision up to which changes are known; None before the first listing.
@@ -26,7 +26,7 @@
     store: KeyStore
     prefix: str
     on_listing: Callable[[Listing], None]
-    on_change: Callable[[Item | Gone], None]
+    on_change: Callable[[Item | KeyRemoved], None]
     wait_s: float = WATCH_S
     gather_s: float = 0.0
     at: int | None = None
@@ -55,7 +55,7 @@
     async def _watch_once(self) -> None:
         assert self.at is not None
         outcome = await self.store.watch(self.prefix, self.at, self.wait_s)
-        if isinstance(outcome, HistoryLost):
+        if isinstance(outcome, HistoryCompacted):
             self.at = None
         elif isinstance(outcome, Unavailable):
             await trio.sleep(RETRY_PAUSE_S)
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/contact.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/probing.py
@@ -19,7 +19,7 @@
 """Timeout of a probe, including a second one that is sent 0.4 s later."""
 
 
-def needs_look(state: ExecutorState) -> bool:
+def needs_probe(state: ExecutorState) -> bool:
     """Whether to probe an executor: a start waits for it, or another one of its rack is silent."""
     if state.silent_since is not None:
         return False
@@ -27,7 +27,7 @@
     return state.is_doubted or (waits and not _has_recent_report(state))
 
 
-async def wait_answered(asked: Iterable[ExecutorState], known: Iterable[ExecutorState]) -> bool:
+async def wait_for_reports(asked: Iterable[ExecutorState], known: Iterable[ExecutorState]) -> bool:
     """Wait for a recent report of each asked executor; False if one does not report.
 
     The other executors in its rack then need a probe before they get work, as the whole rack may
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/recorder.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/recorder.py
@@ -13,7 +13,7 @@
 from heronthread_coordination import Unavailable, Unknown
 
 from .events import log_event
-from .keystore import CommitOutcome, Committed, Item, KeyStore, Mismatch, Put, Transaction
+from .keystore import CommitOutcome, Committed, ConditionFailed, Item, KeyStore, Put, Transaction
 from .model import OpenStart
 from .progress import JobState
 from .relay import StoreRelay
@@ -152,7 +152,7 @@
             self._written.set()
             self._written = trio.Event()
             return True
-        if isinstance(outcome, Mismatch):
+        if isinstance(outcome, ConditionFailed):
             self._adopt_revisions(jobs, outcome.items)
             return False
         assert isinstance(outcome, Unavailable | Unknown), "progress has no lease"
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/relay.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/relay.py
@@ -15,15 +15,15 @@
 from .keystore import (
     CommitOutcome,
     Committed,
+    ConditionFailed,
     Item,
     KeyStore,
-    LeaseOver,
-    Mismatch,
+    LeaseExpired,
     Put,
     Transaction,
 )
 from .peer import PeerUnreachable
-from .peering import OK, Operation, PeerReply, decode_packed, encode_packed
+from .peer_messages import OK, Operation, PeerReply, decode_packed, encode_packed
 from .record import MALFORMED
 
 RELAY_TIMEOUT_S = 0.4
@@ -104,9 +104,9 @@
     """Return an outcome as a body; a mismatch carries only the revisions of the keys."""
     if isinstance(outcome, Committed):
         return {"revision": outcome.revision}
-    if isinstance(outcome, Mismatch):
+    if isinstance(outcome, ConditionFailed):
         return {"mismatch": {key: item.revision for key, item in outcome.items.items()}}
-    if isinstance(outcome, LeaseOver):
+    if isinstance(outcome, LeaseExpired):
         return {"unavailable": "the lease is over"}
     field = "unavailable" if isinstance(outcome, Unavailable) else "unknown"
     return {field: outcome.reason}
@@ -118,7 +118,9 @@
         return Committed(int(body["revision"]))
     if "mismatch" in body:
         rows = body["mismatch"].items()
-        return Mismatch({str(key): Item(str(key), b"", int(revision)) for key, revision in rows})
+        return ConditionFailed(
+            {str(key): Item(str(key), b"", int(revision)) for key, revision in rows}
+        )
     if "unavailable" in body:
         return Unavailable(str(body["unavailable"]))
     return Unknown(str(body["unknown"]))
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/requests.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/requests.py
@@ -10,7 +10,6 @@
 from heronthread_coordination import Measure, Unavailable
 
 from .events import log_event
-from .fitting import Fitting
 from .host_state import HostState
 from .intake import (
     IntakeOutcome,
@@ -30,7 +29,7 @@
 from .owned import job_key
 from .owner import JobView
 from .peer import PeerUnreachable
-from .peering import (
+from .peer_messages import (
     CALL_S,
     NOT_TAKEN,
     OK,
@@ -39,6 +38,8 @@
     decode_record,
     encode_record,
 )
+from .placement_check import PlacementCheck
+from .pool_contents import SETTLE_WINDOW_S
 from .record import (
     CancelledUntaken,
     JobRecord,
@@ -48,7 +49,6 @@
     decode_progress,
 )
 from .recorder import progress_key
-from .sizes import SETTLE_WINDOW_S
 from .stands import JobStand, Unowned
 
 MAX_ACCEPT_BUDGET_S = 2.2
@@ -65,7 +65,7 @@
     def __init__(self, host: HostState, news: NewsExchange) -> None:
         self._host = host
         self._news = news
-        self._fitting = Fitting(host)
+        self._fitting = PlacementCheck(host)
         self._final_views: dict[str, JobView] = {}
 
     async def accept(self, record: JobRecord, budget_s: float) -> IntakeOutcome:
@@ -189,7 +189,7 @@
         """Send a new job to the owner at once; its watch would deliver it later."""
         if self._host.owner is not None:
             # Without a valid lease another owner may have taken over.
-            if self._host.tenure.is_valid:
+            if self._host.host_lease.is_valid:
                 self._host.owner.note_job(record)
         elif self._host.known_owner is not None:
             body = encode_record(record)
@@ -220,24 +220,24 @@
         if self._host.owner is not None:
             view = self._host.owner.view(job_id)
             return view or Unowned(self._host.settings.name, NOT_KNOWN_TO_OWNER)
-        presence = self._host.known_owner
-        if presence is None:
+        host_record = self._host.known_owner
+        if host_record is None:
             return Unowned("", "no owner is known")
         reply = await self._host.ask_peer(
-            presence.address,
+            host_record.address,
             Operation.JOB_STATE,
             {"job": job_id},
             QUERY_BUDGET_S,
         )
         if isinstance(reply, PeerUnreachable):
-            return Unowned(presence.host, reply.reason)
+            return Unowned(host_record.host, reply.reason)
         if reply.status != OK:
-            return Unowned(presence.host, NOT_KNOWN_TO_OWNER)
-        view = self._host.read_reply(reply, Operation.JOB_STATE, presence.address, _decode_view)
+            return Unowned(host_record.host, NOT_KNOWN_TO_OWNER)
+        view = self._host.read_reply(reply, Operation.JOB_STATE, host_record.address, _decode_view)
         if view is None:
-            return Unowned(presence.host, "its reply can't be read")
+            return Unowned(host_record.host, "its reply can't be read")
         if view.stand is not None:
-            self._host.stands.tell(job_id, view.stand, presence.host)
+            self._host.stands.tell(job_id, view.stand, host_record.host)
         return view
 
     async def _read_view(self, job_id: str) -> JobView | NoSuchJob | Unavailable:
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/retention.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/retention.py
@@ -14,7 +14,7 @@
 JOBS_PER_TRANSACTION = 15
 
 
-async def remove_old_jobs(cell: OwnedCell) -> None:
+async def remove_expired_jobs(cell: OwnedCell) -> None:
     """Remove expired jobs periodically until cancelled."""
     while True:
         await trio.sleep(PERIOD_S)
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/housekeeping.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/run_monitor.py
@@ -19,7 +19,7 @@
 PARTIAL_GANG_S = 0.8
 
 
-class Housekeeping:
+class RunMonitor:
     """Checks all attempts of a cell periodically."""
 
     def __init__(self, cell: OwnedCell) -> None:
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/succession.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/succession.py
@@ -8,7 +8,7 @@
 
 from heronthread_coordination import rank as rank_by_name
 
-from .tenure import Presence
+from .host_lease import HostRecord
 
 RANK_DELAY_S = 0.04
 MAX_RANK = 30
@@ -17,7 +17,7 @@
 """Smallest ratio of cores for a handover, which interrupts starts for some tenths of a second."""
 
 
-def rank(own: Presence, members: dict[str, Presence], gone_at: float) -> int:
+def rank(own: HostRecord, members: dict[str, HostRecord], gone_at: float) -> int:
     """Return a host's rank among the hosts that try to take ownership.
 
     The order of equally strong hosts changes with each loss of an owner, so that a host that fails
@@ -28,7 +28,7 @@
     return min(stronger + rank_by_name(own.host, f"{gone_at:.0f}", equals), MAX_RANK)
 
 
-def find_stronger(own: Presence, members: dict[str, Presence]) -> Presence | None:
+def find_stronger(own: HostRecord, members: dict[str, HostRecord]) -> HostRecord | None:
     """Return the strongest member if it is clearly stronger than this host."""
     strongest = max(members.values(), key=lambda member: member.strength, default=own)
     is_clear = strongest.strength.cores >= MIN_STRENGTH_RATIO * own.strength.cores
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/used.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/used.py
@@ -13,7 +13,7 @@
 
 from .events import log_event
 from .fleet import ExecutorState, make_executor
-from .keystore import Committed, Listing, Mismatch, Put, Transaction
+from .keystore import Committed, ConditionFailed, Listing, Put, Transaction
 from .model import Executor, Resources, TaskKey
 from .owned import OwnedCell
 from .progress import JobState
@@ -140,7 +140,7 @@
             if not isinstance(outcome, Unavailable):
                 # The write may have been applied, or may be later.
                 self._written = None
-            if isinstance(outcome, Mismatch):
+            if isinstance(outcome, ConditionFailed):
                 self._update_revision(outcome)
             await trio.sleep(PAUSE_S)
 
@@ -154,7 +154,7 @@
             executor.address, executor.pool, tasks, state.life.born, state.is_named, lapses_in_s
         )
 
-    def _update_revision(self, outcome: Mismatch) -> None:
+    def _update_revision(self, outcome: ConditionFailed) -> None:
         """Update the revision after a conflict, or depose this owner if the term is over."""
         key, revision = self._cell.term.guard
         guard = outcome.items.get(key)
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/watching.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/watching.py
@@ -7,24 +7,24 @@
 import trio
 
 from .confirming import needs_confirmation, probe_repeatedly, send_hold
-from .contact import needs_look
 from .events import describe_life, describe_run, log_event
 from .executor_link import (
     EndedRun,
     HoldOrder,
     HoldOutcome,
-    OtherLife,
+    InstanceEnded,
+    NoAnswer,
     Refusal,
     Refused,
     Report,
     RunningRun,
-    Unanswered,
     Unhealthy,
 )
 from .fleet import CLOCK_DRIFT, LAPSE_MARGIN_S, ExecutorState
 from .lives import begin_life
 from .model import Executor, Life, TaskKey
 from .owned import OwnedCell
+from .probing import needs_probe
 from .progress import UNSETTLED, Attempt, JobState, Phase
 from .speed import measure_speed
 
@@ -87,7 +87,7 @@
             and state.acknowledged >= state.find_acknowledgeable(trio.current_time())
             and self._find_unprobed_entry() is None
             and not self.cell.may_receive_late_start(state)
-            and not needs_look(state)
+            and not needs_probe(state)
         )
 
     def _find_unprobed_entry(self) -> Executor | None:
@@ -110,7 +110,7 @@
             if self.state is not state:
                 return
         sent = trio.current_time()
-        is_asked_for = needs_look(state)
+        is_asked_for = needs_probe(state)
         order = self._make_hold_order(sent, entry)
         self._hold_sent_at = sent
         if is_asked_for or 0 < self._failed_holds <= MAX_EAGER_PROBES:
@@ -123,7 +123,7 @@
                 state.asked = entry or state.asked
             if self.state.ack_deferred_until:
                 await self._pause(sent + DEFERRED_ACK_PAUSE_S)
-        elif isinstance(outcome, OtherLife):
+        elif isinstance(outcome, InstanceEnded):
             state.mark_ended()
         elif isinstance(outcome, Refused) and outcome.reason is Refusal.FENCED:
             self._depose()
@@ -133,7 +133,7 @@
 
     def _make_hold_order(self, now: float, entry: Executor | None) -> HoldOrder:
         state, token = self.state, self.cell.term.number
-        if needs_look(state):
+        if needs_probe(state):
             return HoldOrder(token, 0, None, 0.0)
         until = self._choose_deadline(now)
         # Without an entry, poll until its lease has expired; long polls keep the number of calls
@@ -245,7 +245,7 @@
         self._failed_holds += 1
         if self._failed_holds == 1:
             self._log_silence(outcome, now)
-        if isinstance(outcome, Unanswered):
+        if isinstance(outcome, NoAnswer):
             if self.state.silent_since is None:
                 self.cell.crashes.note_silence(self.state, now)
                 # Sent until it answers, as it may be another instance by then.
@@ -436,7 +436,7 @@
 
 def _describe_failure(outcome: HoldOutcome) -> str:
     """Return how a hold failed: no answer, connection refused, or turned away."""
-    if isinstance(outcome, Unanswered):
+    if isinstance(outcome, NoAnswer):
         return "refused" if outcome.unsent else "no answer"
     return "unhealthy" if isinstance(outcome, Unhealthy) else "turned away"
 
--- a/packages/heronthread-dispatch/tests/test_clock.py
+++ b/packages/heronthread-dispatch/tests/test_clock.py
@@ -18,10 +18,10 @@
 
 
 async def test_suspended_time_counts(autojump_clock: Clock, suspend: list[float]) -> None:
-    began = clock.lasting_time()
+    began = clock.boot_time()
     await trio.sleep(1.0)
     suspend.append(7.0)
-    assert clock.lasting_time() - began == pytest.approx(8.0)
+    assert clock.boot_time() - began == pytest.approx(8.0)
 
 
 def test_suspended_time_is_read_from_the_machine() -> None:
@@ -35,9 +35,9 @@
     async with EmulatedSite.open(hosts=1) as site:
         await site.wait_for_owner()
         host = site.hosts["h0"]
-        assert host.tenure.is_valid
+        assert host.host_lease.is_valid
         suspend.append(5.0)
-        assert not host.tenure.is_valid
+        assert not host.host_lease.is_valid
         starts = len(site.executors.starts())
         await host.requests.accept(site.make_job("a", work_s=1.0), 2.0)
         assert len(site.executors.starts()) == starts
--- a/packages/heronthread-dispatch/tests/test_listings.py
+++ b/packages/heronthread-dispatch/tests/test_entry_change_log.py
@@ -3,7 +3,7 @@
 from typing import Any
 
 import trio
-from heronthread_dispatch.lines import WHOLE_BYTES, LineWriter
+from heronthread_dispatch.log_writer import WHOLE_BYTES, LogWriter
 from heronthread_emulator import EmulatedSite, captured_events
 
 Clock = trio.testing.MockClock
@@ -36,7 +36,7 @@
 
 async def test_entries_removed_together_share_one_line(autojump_clock: Clock) -> None:
     """176 entries with long ids and running tasks must fit one line."""
-    names, lines = [f"{number:036}" for number in range(176)], LineWriter()
+    names, lines = [f"{number:036}" for number in range(176)], LogWriter()
     async with EmulatedSite.open(hosts=1, executors=0) as site:
         for name in names:
             site.add_executor(name, "r0")
--- a/packages/heronthread-dispatch/tests/test_evacuation.py
+++ b/packages/heronthread-dispatch/tests/test_evacuation.py
@@ -11,7 +11,7 @@
     Evacuations,
     describe_invalid_domain,
 )
-from heronthread_dispatch.keystore import Gone, Item, Listing
+from heronthread_dispatch.keystore import Item, KeyRemoved, Listing
 from heronthread_dispatch.wire.ttypes import Forward, Frame, Operation
 from heronthread_emulator import EmulatedSite, captured_events, check_promises
 from heronthread_emulator.site import EVACUATIONS
@@ -360,7 +360,7 @@
 async def test_stale_reports_are_ignored() -> None:
     evacuations = Evacuations("op/")
     evacuations.take(Item("op/a", b"", 5))
-    evacuations.take(Gone("op/a", 4))
+    evacuations.take(KeyRemoved("op/a", 4))
     evacuations.merge_encoded({"op/a": [3, False]}, "peer")
     assert evacuations.domains == {"a"}
     evacuations.merge_encoded({"op/a": [6, False]}, "peer")
@@ -400,7 +400,7 @@
     evacuations.take(Item("op/kept", b"", 1))
     for number in range(3 * MAX_WITHDRAWN):
         evacuations.take(Item(f"op/d{number}", b"", 2 * number + 2))
-        evacuations.take(Gone(f"op/d{number}", 2 * number + 3))
+        evacuations.take(KeyRemoved(f"op/d{number}", 2 * number + 3))
     assert evacuations.domains == {"kept"}
     assert len(evacuations.requests) == MAX_WITHDRAWN + 1
 
--- a/packages/heronthread-dispatch/tests/test_instance_restart.py
+++ b/packages/heronthread-dispatch/tests/test_instance_restart.py
@@ -12,8 +12,8 @@
     EndKind,
     HoldOrder,
     HoldOutcome,
+    NoAnswer,
     Report,
-    Unanswered,
 )
 from heronthread_dispatch.late_starts import MAX_ORDER_DELAY_S
 from heronthread_dispatch.model import Executor, Resources, TaskKey
@@ -303,7 +303,7 @@
         async def hold_elsewhere(executor: Executor, order: HoldOrder) -> HoldOutcome:
             if executor.address == "e0":
                 await trio.sleep(0.01)
-                return Unanswered("refused", unsent=True)
+                return NoAnswer("refused", unsent=True)
             return await hold(executor, order)
 
         monkeypatch.setattr(site.executors, "hold", hold_elsewhere)
--- a/packages/heronthread-dispatch/tests/test_lines.py
+++ b/packages/heronthread-dispatch/tests/test_log_writer.py
@@ -9,11 +9,11 @@
 
 import pytest
 import trio
-from heronthread_dispatch.lines import (
+from heronthread_dispatch.log_writer import (
     MAX_BUFFERED_LINES,
     RESERVED_FOR_REQUESTS,
     WHOLE_BYTES,
-    LineWriter,
+    LogWriter,
 )
 
 PROCESSES = 4
@@ -23,7 +23,7 @@
 async def test_blocked_output_delays_nothing_and_losses_are_counted() -> None:
     """With no reader, lines are buffered up to a limit, then dropped and counted."""
     reader, writer = os.pipe()
-    lines = LineWriter(descriptor=writer, host="h1")
+    lines = LogWriter(descriptor=writer, host="h1")
     async with trio.open_nursery() as nursery:
         nursery.start_soon(lines.run)
         for number in range(3 * MAX_BUFFERED_LINES):
@@ -43,7 +43,7 @@
 
 async def test_lines_name_their_host() -> None:
     reader, writer = os.pipe()
-    lines = LineWriter(descriptor=writer, host="h1")
+    lines = LogWriter(descriptor=writer, host="h1")
     lines({"message_type": "x", "task_uuid": "u", "task_level": [1]})
     lines.flush()
     assert os.read(reader, 1000) == b'{"message_type":"x","host":"h1"}\n'
@@ -64,7 +64,7 @@
                     await trio.sleep(0.002)
             nursery.cancel_scope.cancel()
 
-    lines = LineWriter(descriptor=descriptor, host=host)
+    lines = LogWriter(descriptor=descriptor, host=host)
     trio.run(write)
     lines.flush()
     left = b"".join([lines._unwritten_bytes, *lines.waiting]).count(b'"message_type":"x"')
@@ -105,13 +105,13 @@
         assert told <= missing
 
 
-def _fill(lines: LineWriter, kind: str, count: int) -> None:
+def _fill(lines: LogWriter, kind: str, count: int) -> None:
     for number in range(count):
         lines({"message_type": kind, "number": number})
 
 
 def test_lines_of_requests_are_dropped_last_and_drops_are_reported() -> None:
-    lines = LineWriter()
+    lines = LogWriter()
     _fill(lines, "x", MAX_BUFFERED_LINES)
     assert lines.dropped == {"x": RESERVED_FOR_REQUESTS}
     _fill(lines, "job.ended", 10)
@@ -135,7 +135,7 @@
     ],
 )
 def test_a_long_line_is_shortened_by_field(fields: dict[str, Any]) -> None:
-    lines = LineWriter(host="h1")
+    lines = LogWriter(host="h1")
     lines({"message_type": "x", "timestamp": 1.5, "job": "ab", **fields})
     line = lines.waiting[0]
     assert len(line) <= WHOLE_BYTES
--- a/packages/heronthread-dispatch/tests/test_loop.py
+++ b/packages/heronthread-dispatch/tests/test_loop_lag.py
@@ -2,13 +2,13 @@
 
 import pytest
 from heronthread_coordination import Measure
-from heronthread_dispatch import loop
-from heronthread_dispatch.loop import LOG_THRESHOLD_S, OVERLOAD_LAG_S, LoopWatch
+from heronthread_dispatch import loop_lag
+from heronthread_dispatch.loop_lag import LOG_THRESHOLD_S, OVERLOAD_LAG_S, LoopLagMonitor
 from heronthread_dispatch.statistics import Statistics
 
 
-def _watch(readings: list[float], period_s: float = 0.4) -> LoopWatch:
-    watch = LoopWatch(Statistics())
+def _watch(readings: list[float], period_s: float = 0.4) -> LoopLagMonitor:
+    watch = LoopLagMonitor(Statistics())
     for number, late_s in enumerate(readings):
         watch.note(number * period_s, late_s)
     return watch
@@ -30,13 +30,13 @@
 
 def test_lag_is_in_the_metrics() -> None:
     statistics = Statistics()
-    LoopWatch(statistics).note(0.0, 0.04)
+    LoopLagMonitor(statistics).note(0.0, 0.04)
     assert 'heronthread_lateness_ms{tenant="",queue="",quantile="0.99"} 40' in statistics.render({})
     assert Measure.LATENESS.value == "lateness"
 
 
 def test_a_late_loop_is_logged_at_a_limited_rate(monkeypatch: pytest.MonkeyPatch) -> None:
     lines: list[dict[str, object]] = []
-    monkeypatch.setattr(loop, "log_event", lambda kind, **fields: lines.append(fields))
+    monkeypatch.setattr(loop_lag, "log_event", lambda kind, **fields: lines.append(fields))
     _watch([0.0, LOG_THRESHOLD_S, 2 * LOG_THRESHOLD_S, 0.0, 0.0, 0.0] + [0.0] * 10)
     assert [line["worst_s"] for line in lines] == [LOG_THRESHOLD_S, 2 * LOG_THRESHOLD_S]
--- a/packages/heronthread-dispatch/tests/test_news.py
+++ b/packages/heronthread-dispatch/tests/test_news.py
@@ -4,7 +4,7 @@
 import trio
 from heronthread_dispatch.keystore import WatchOutcome
 from heronthread_dispatch.peer import PeerUnreachable
-from heronthread_dispatch.peering import OK, make_reply
+from heronthread_dispatch.peer_messages import OK, make_reply
 from heronthread_dispatch.wire.ttypes import Frame, Operation
 from heronthread_emulator import EmulatedSite
 from heronthread_emulator.store import StoreView
--- a/packages/heronthread-dispatch/tests/test_observed.py
+++ b/packages/heronthread-dispatch/tests/test_observed_store.py
@@ -1,7 +1,7 @@
 """Tracking of a store's availability and recovery."""
 
 import trio
-from heronthread_dispatch.observed import MAX_PATIENCE_S, MIN_PATIENCE_S, ObservedStore
+from heronthread_dispatch.observed_store import MAX_PATIENCE_S, MIN_PATIENCE_S, ObservedStore
 from heronthread_emulator import EmulatedSite
 
 Clock = trio.testing.MockClock
--- a/packages/heronthread-dispatch/tests/test_fitting.py
+++ b/packages/heronthread-dispatch/tests/test_placement_check.py
@@ -4,13 +4,13 @@
 
 import pytest
 import trio
-from heronthread_dispatch.fitting import CACHE_S
 from heronthread_dispatch.host import Host
 from heronthread_dispatch.intake import IntakeOutcome, NoSuchJob, NotTaken, Taken
 from heronthread_dispatch.keystore import Item, Missing
 from heronthread_dispatch.owned import job_key
 from heronthread_dispatch.peer import PeerUnreachable
-from heronthread_dispatch.sizes import SETTLE_WINDOW_S
+from heronthread_dispatch.placement_check import CACHE_S
+from heronthread_dispatch.pool_contents import SETTLE_WINDOW_S
 from heronthread_dispatch.wire.ttypes import ForwardReply, Frame, Operation
 from heronthread_emulator import EmulatedSite, captured_events
 
--- a/packages/heronthread-dispatch/tests/test_sizes.py
+++ b/packages/heronthread-dispatch/tests/test_pool_contents.py
@@ -4,10 +4,10 @@
 
 import pytest
 from heronthread_dispatch.model import Executor, JobSpec, Queue, Resources, StepSpec
-from heronthread_dispatch.sizes import (
+from heronthread_dispatch.pool_contents import (
     SETTLE_WINDOW_S,
     Kind,
-    PoolSizes,
+    PoolContents,
     decode_kinds,
     encode_kinds,
     find_misfit,
@@ -32,12 +32,12 @@
     return _make_job(StepSpec(count, need, 1.0, **more))  # type: ignore[arg-type]
 
 
-def _count_held(sizes: PoolSizes, now: float, pool: str = "pool") -> int:
+def _count_held(sizes: PoolContents, now: float, pool: str = "pool") -> int:
     return sum(kind.count for kind in sizes.list_kinds(pool, now))
 
 
 def test_capacity_that_shrank_for_a_while_still_counts() -> None:
-    sizes = PoolSizes()
+    sizes = PoolContents()
     sizes.keep(_make_executor("e0", LARGE), 0.0)
     sizes.keep(_make_executor("e0", SMALL), 5.0)
     assert [kind.capacity for kind in sizes.list_kinds("pool", 100.0)] == [LARGE]
@@ -76,7 +76,7 @@
 
 
 def test_a_pool_is_settled_once_it_stops_growing() -> None:
-    sizes = PoolSizes()
+    sizes = PoolContents()
     assert not sizes.is_settled("pool", 100.0)
     sizes.keep(_make_executor("e0"), 0.0)
     sizes.keep(_make_executor("e1"), 10.0)
@@ -92,7 +92,7 @@
 
 
 def test_recently_removed_executors_count() -> None:
-    sizes = PoolSizes()
+    sizes = PoolContents()
     for number in range(3):
         sizes.keep(_make_executor(f"e{number}"), 0.0)
     sizes.keep(_make_executor("f0", pool="second"), 0.0)
@@ -106,7 +106,7 @@
 
 
 def test_an_executor_with_a_changed_entry_counts_once() -> None:
-    sizes = PoolSizes()
+    sizes = PoolContents()
     sizes.keep(_make_executor("e0"), 0.0)
     sizes.keep(_make_executor("e0", LARGE), 1.0)
     assert sizes.list_kinds("pool", 1.0) == [Kind(LARGE, ("small", "r0"), 1)]
@@ -116,7 +116,7 @@
 
 
 def test_removed_executors_are_forgotten_without_a_query() -> None:
-    sizes = PoolSizes()
+    sizes = PoolContents()
     for number in range(1_000):
         sizes.keep(_make_executor(f"e{number}"), float(number))
         sizes.drop(f"e{number}", float(number))
--- a/packages/heronthread-dispatch/tests/test_follow.py
+++ b/packages/heronthread-dispatch/tests/test_prefix_watcher.py
@@ -1,18 +1,20 @@
 """Batching of frequent changes of a watched key."""
 
 import trio
-from heronthread_dispatch.follow import Follower
-from heronthread_dispatch.keystore import Gone, Item
-from heronthread_dispatch.observed import ObservedStore
+from heronthread_dispatch.keystore import Item, KeyRemoved
+from heronthread_dispatch.observed_store import ObservedStore
+from heronthread_dispatch.prefix_watcher import PrefixWatcher
 from heronthread_emulator import EmulatedSite
 
 Clock = trio.testing.MockClock
 
 
-async def _follow(site: EmulatedSite, gather_s: float) -> tuple[int, list[Item | Gone]]:
+async def _follow(site: EmulatedSite, gather_s: float) -> tuple[int, list[Item | KeyRemoved]]:
     store = ObservedStore(site.store_view())
-    changes: list[Item | Gone] = []
-    follower = Follower(store, "beat/", lambda listing: None, changes.append, gather_s=gather_s)
+    changes: list[Item | KeyRemoved] = []
+    follower = PrefixWatcher(
+        store, "beat/", lambda listing: None, changes.append, gather_s=gather_s
+    )
     with trio.move_on_after(5.0):
         async with trio.open_nursery() as nursery:
             nursery.start_soon(follower.run)
--- a/packages/heronthread-dispatch/tests/test_record.py
+++ b/packages/heronthread-dispatch/tests/test_record.py
@@ -4,6 +4,7 @@
 import random
 
 import trio
+from heronthread_dispatch.host_lease import HostRecord
 from heronthread_dispatch.model import ApprovalTerms, JobSpec, Queue, Resources, Schedule, StepSpec
 from heronthread_dispatch.owned import job_key
 from heronthread_dispatch.record import (
@@ -14,7 +15,6 @@
     decode_progress,
 )
 from heronthread_dispatch.recorder import progress_key
-from heronthread_dispatch.tenure import Presence
 from heronthread_dispatch.used import decode_used
 from heronthread_emulator import EmulatedSite, captured_events
 from hypothesis import given
@@ -29,7 +29,7 @@
 QUEUE = Queue("q", "host", "/q/", "pool", 1, 4, 3.0, 1.0, False, ApprovalTerms(0.2, 0.1, 5.0))
 STEPS = (StepSpec(2, Resources(1, 1, 1), 1.0), StepSpec(1, Resources(1, 1, 0), 1.0, after=(0,)))
 EXAMPLE = JobRecord(JobSpec("a", QUEUE, "first", "text", STEPS, 1.0, Schedule(2, 1.0, 1.0)))
-READERS = (decode_job, decode_progress, decode_used, Presence.decode)
+READERS = (decode_job, decode_progress, decode_used, HostRecord.decode)
 
 
 def _change_one(value: object, source: random.Random, other: object) -> object:
--- a/packages/heronthread-dispatch/tests/test_refusals.py
+++ b/packages/heronthread-dispatch/tests/test_refusals.py
@@ -12,8 +12,8 @@
     EndKind,
     HoldOrder,
     HoldOutcome,
+    InstanceEnded,
     OrderOutcome,
-    OtherLife,
     StartOrder,
 )
 from heronthread_dispatch.fleet import ExecutorState, WorkRefusal
@@ -126,7 +126,7 @@
             if executor.address != "elsewhere":
                 return outcome
             if answer == "nobody":
-                return OtherLife()
+                return InstanceEnded()
             return replace(outcome, born=7, running=())  # type: ignore[type-var]
 
         monkeypatch.setattr(site.executors, "hold", hold_elsewhere)
@@ -257,7 +257,7 @@
 
         async def deny_once(executor: Executor, order: StartOrder) -> OrderOutcome:
             monkeypatch.setattr(site.executors, "start", start)
-            return OtherLife()
+            return InstanceEnded()
 
         monkeypatch.setattr(site.executors, "start", deny_once)
         await _submit(site, "a", work_s=1.0)
--- a/packages/heronthread-dispatch/tests/test_relay.py
+++ b/packages/heronthread-dispatch/tests/test_relay.py
@@ -5,7 +5,7 @@
 
 import trio
 from heronthread_coordination import Unavailable, Unknown
-from heronthread_dispatch.keystore import Committed, Item, Mismatch, Put, Transaction
+from heronthread_dispatch.keystore import Committed, ConditionFailed, Item, Put, Transaction
 from heronthread_dispatch.relay import (
     decode_outcome,
     decode_transaction,
@@ -71,7 +71,7 @@
 def test_outcomes_round_trip() -> None:
     """A mismatch carries only revisions, as writers need no values."""
     assert decode_outcome(encode_outcome(Committed(9))) == Committed(9)
-    mismatch = Mismatch({"a": Item("a", b"value", 5)})
-    assert decode_outcome(encode_outcome(mismatch)) == Mismatch({"a": Item("a", b"", 5)})
+    mismatch = ConditionFailed({"a": Item("a", b"value", 5)})
+    assert decode_outcome(encode_outcome(mismatch)) == ConditionFailed({"a": Item("a", b"", 5)})
     assert decode_outcome(encode_outcome(Unavailable("busy"))) == Unavailable("busy")
     assert decode_outcome(encode_outcome(Unknown("lost"))) == Unknown("lost")
--- a/packages/heronthread-dispatch/tests/test_succession.py
+++ b/packages/heronthread-dispatch/tests/test_succession.py
@@ -1,21 +1,21 @@
 """Choice of the owner by strength, and handover to a stronger host."""
 
 import trio
-from heronthread_dispatch.loop import OVERLOAD_LAG_S
+from heronthread_dispatch.host_lease import HostRecord, Strength
+from heronthread_dispatch.loop_lag import OVERLOAD_LAG_S
 from heronthread_dispatch.succession import MAX_RANK, find_stronger, rank
-from heronthread_dispatch.tenure import Presence, Strength
 from heronthread_emulator import EmulatedSite, check_promises
 
 Clock = trio.testing.MockClock
 WEAK, STRONG = Strength(0.5, 20.0), Strength(2.0, 200.0)
 
 
-def _presence(name: str, strength: Strength) -> Presence:
-    return Presence(name, name, strength)
+def _presence(name: str, strength: Strength) -> HostRecord:
+    return HostRecord(name, name, strength)
 
 
-def _members(*presences: Presence) -> dict[str, Presence]:
-    return {presence.host: presence for presence in presences}
+def _members(*presences: HostRecord) -> dict[str, HostRecord]:
+    return {host_record.host: host_record for host_record in presences}
 
 
 def test_rank_orders_by_cores_and_then_bandwidth() -> None:
@@ -52,9 +52,9 @@
 
 
 def test_strength_is_stored_and_defaults_for_older_hosts() -> None:
-    presence = _presence("a", STRONG)
-    assert Presence.decode(presence.encode()) == presence
-    assert Presence.decode(b'{"host": "a", "address": "b"}').strength == Strength()
+    host_record = _presence("a", STRONG)
+    assert HostRecord.decode(host_record.encode()) == host_record
+    assert HostRecord.decode(b'{"host": "a", "address": "b"}').strength == Strength()
 
 
 async def test_the_strongest_host_follows_a_killed_owner(autojump_clock: Clock) -> None:
@@ -120,5 +120,5 @@
         host = site.start_host("h1")
         site.views["h1"].lose_answers, site.views["h1"].late_s = 2, 2.0
         await trio.sleep(12.0)
-        assert host.tenure.is_valid
+        assert host.host_lease.is_valid
         assert "h1" in site.hosts["h0"].members
--- a/packages/heronthread-dispatch/tests/test_waiting.py
+++ b/packages/heronthread-dispatch/tests/test_waiting.py
@@ -7,11 +7,11 @@
 from heronthread_dispatch.causes import WaitCause
 from heronthread_dispatch.fleet import ExecutorState, WorkRefusal
 from heronthread_dispatch.keystore import CommitOutcome, Transaction
-from heronthread_dispatch.lines import WHOLE_BYTES, LineWriter
+from heronthread_dispatch.log_writer import WHOLE_BYTES, LogWriter
 from heronthread_dispatch.model import ApprovalTerms, JobSpec, Queue, Resources, StepSpec, TaskKey
 from heronthread_dispatch.orders import Orders
 from heronthread_dispatch.owner import Owner
-from heronthread_dispatch.peering import Operation, PeerReply
+from heronthread_dispatch.peer_messages import Operation, PeerReply
 from heronthread_dispatch.planner import Planner
 from heronthread_dispatch.progress import Attempt, JobState, Phase, make_job
 from heronthread_dispatch.record import MALFORMED
@@ -396,7 +396,7 @@
 
 async def test_stall_log_line_fits_into_an_atomic_pipe_write(autojump_clock: Clock) -> None:
     """All ids have 36 characters."""
-    job, lines = "j" * 36, LineWriter()
+    job, lines = "j" * 36, LogWriter()
     async with EmulatedSite.open(hosts=1, executors=0) as site:
         for number in range(20):
             site.add_executor(f"{number:036}", "r0")
--- a/packages/heronthread-emulator/src/heronthread_emulator/approver.py
+++ b/packages/heronthread-emulator/src/heronthread_emulator/approver.py
@@ -7,7 +7,7 @@
 
 import trio
 from heronthread_dispatch.approval import Approved, Question
-from heronthread_dispatch.executor_link import Unanswered
+from heronthread_dispatch.executor_link import NoAnswer
 from heronthread_dispatch.model import Life, TaskKey
 
 
@@ -25,14 +25,14 @@
     find_born: Callable[[str], int] = lambda executor: 0
     _expires: dict[str, float] = field(default_factory=dict)
 
-    async def ask(self, question: Question) -> Approved | Unanswered:
+    async def ask(self, question: Question) -> Approved | NoAnswer:
         """Answer after the time that the terms say."""
         self.questions.append(question)
         terms = question.terms
         await trio.sleep(terms.decision_s + terms.each_s * len(question.executors))
         if self.fail_next > 0:
             self.fail_next -= 1
-            return Unanswered("lost")
+            return NoAnswer("lost")
         tickets = {}
         for executor in question.executors:
             if executor in self.healthy:
--- a/packages/heronthread-emulator/src/heronthread_emulator/executor_server.py
+++ b/packages/heronthread-emulator/src/heronthread_emulator/executor_server.py
@@ -10,8 +10,8 @@
 import orjson
 import trio
 from heronthread_dispatch.executor_link import (
+    Acknowledged,
     HoldOrder,
-    Obeyed,
     OrderOutcome,
     Refused,
     RunningRun,
@@ -270,9 +270,9 @@
 
     async def _tell(self, life: EmulatedExecutor, order: Any, outcome: OrderOutcome) -> Answer:
         """Answer an order that came in time, and write down a stop that was answered."""
-        if isinstance(outcome, Obeyed) and isinstance(order, HoldOrder):
+        if isinstance(outcome, Acknowledged) and isinstance(order, HoldOrder):
             return await self._report(life, order)
-        if isinstance(outcome, Obeyed) and isinstance(order, StopOrder):
+        if isinstance(outcome, Acknowledged) and isinstance(order, StopOrder):
             self._note_order("executor.stop_answered", life, order)
         return _write_outcome(outcome, life.clock_ms())
 
@@ -587,7 +587,7 @@
 
 
 def _write_outcome(outcome: OrderOutcome, clock_ms: int) -> Response:
-    if isinstance(outcome, Obeyed):
+    if isinstance(outcome, Acknowledged):
         return Response(200, spelling.write_clock(clock_ms))
     if isinstance(outcome, Refused):
         return Response(409, spelling.write_refusal(outcome.reason, clock_ms))
--- a/packages/heronthread-emulator/src/heronthread_emulator/executors.py
+++ b/packages/heronthread-emulator/src/heronthread_emulator/executors.py
@@ -10,20 +10,20 @@
 
 import trio
 from heronthread_dispatch.executor_link import (
+    Acknowledged,
     EndedRun,
     EndKind,
     HoldOrder,
     HoldOutcome,
-    Obeyed,
+    InstanceEnded,
+    NoAnswer,
     OrderOutcome,
-    OtherLife,
     Refusal,
     Refused,
     Report,
     RunningRun,
     StartOrder,
     StopOrder,
-    Unanswered,
     Unhealthy,
 )
 from heronthread_dispatch.model import Executor, Life, Resources, TaskKey
@@ -295,7 +295,7 @@
         place = self.by_id.get(executor.id)
         if place is not None and place.is_unreachable:
             await trio.sleep(LATENCY_S)
-            return Unanswered("refused", unsent=True)
+            return NoAnswer("refused", unsent=True)
         is_lost = place is not None and place.lose_starts > 0
         if place is not None and is_lost:
             place.lose_starts -= 1
@@ -305,7 +305,7 @@
         sent = (executor.life, order.task, order.run)
         self.unanswered.add(sent)
         outcome = await self._order(executor, lambda e: self._start(e, order, sent_at), is_lost)
-        if not isinstance(outcome, Unanswered) or outcome.unsent:
+        if not isinstance(outcome, NoAnswer) or outcome.unsent:
             self.unanswered.discard(sent)
         return outcome
 
@@ -319,7 +319,7 @@
     async def hold(self, executor: Executor, order: HoldOrder) -> HoldOutcome:
         """Renew the holding time and read both lists."""
         outcome = await self._order(executor, lambda e: self._hold(e, order))
-        if not isinstance(outcome, Obeyed):
+        if not isinstance(outcome, Acknowledged):
             return outcome
         place = self.by_id[executor.id]
         if order.wait_s and not place.ended:
@@ -327,11 +327,11 @@
                 await place.news.wait()
         if place.is_cut:
             await trio.sleep(SILENCE_S)
-            return Unanswered("silent")
+            return NoAnswer("silent")
         if place.is_down:
-            return Unanswered("refused", unsent=True)
+            return NoAnswer("refused", unsent=True)
         if self.by_id[executor.id] is not place:
-            return Unanswered("reset")
+            return NoAnswer("reset")
         running = tuple(
             RunningRun(r.task, r.run, "", self.shown_percent or 100 * r.worked_s / r.work_s)
             for r in place.running.values()
@@ -352,11 +352,11 @@
         place = self.by_id.get(executor.id)
         if place is None or place.is_cut:
             await trio.sleep(SILENCE_S)
-            return Unanswered("silent")
+            return NoAnswer("silent")
         if place.is_down:
-            return Unanswered("refused", unsent=True)
+            return NoAnswer("refused", unsent=True)
         if place.is_gone:
-            return OtherLife()
+            return InstanceEnded()
         if is_lost or place.lose_answers > 0:
             place.lose_answers -= not is_lost
             if place.late_s:
@@ -365,7 +365,7 @@
             else:
                 act(place)  # type: ignore[operator]
             await trio.sleep(SILENCE_S)
-            return Unanswered("the answer was lost")
+            return NoAnswer("the answer was lost")
         outcome: OrderOutcome = act(place)  # type: ignore[operator]
         return outcome
 
@@ -401,7 +401,7 @@
             return Refused(Refusal.LATE)
         self._keep_until(place, order.until_ms)
         if (order.task, order.run) in place.running:
-            return Obeyed()
+            return Acknowledged()
         if order.run <= place.floor.get(order.task, 0):
             return Refused(Refusal.OLD_RUN)
         life = place.executor.life
@@ -426,7 +426,7 @@
         if order.task in self.crashing:
             assert self._nursery is not None
             self._nursery.start_soon(self._crash_later, place, order.task, order.run)
-        return Obeyed()
+        return Acknowledged()
 
     async def _crash_later(self, place: EmulatedExecutor, task: TaskKey, run: int) -> None:
         await trio.sleep(self.crashing[task])
@@ -440,7 +440,7 @@
             if run.task == order.task and run.run <= order.run and run.stopping_at is None:
                 run.stopping_at = trio.current_time() + place.stop_s
         place.floor[order.task] = max(place.floor.get(order.task, 0), order.run)
-        return Obeyed()
+        return Acknowledged()
 
     def _hold(self, place: EmulatedExecutor, order: HoldOrder) -> OrderOutcome:
         if self._fence(place, order.token):
@@ -452,7 +452,7 @@
                 self.taken_note.add((place.executor.life, end.number))
                 self.noted_at.setdefault((place.executor.life, end.number), trio.current_time())
         place.ended = [end for end in place.ended if end.number > order.seen]
-        return Obeyed()
+        return Acknowledged()
 
     def _keep_until(self, place: EmulatedExecutor, until_ms: int) -> None:
         until_ms = min(until_ms, place.clock_ms() + int(MOST_HOLD_S * 1000))
--- a/packages/heronthread-emulator/src/heronthread_emulator/plants.py
+++ b/packages/heronthread-emulator/src/heronthread_emulator/plants.py
@@ -13,7 +13,7 @@
 from heronthread_dispatch import watching
 from heronthread_dispatch.crashes import Crashes
 from heronthread_dispatch.directory import Directory
-from heronthread_dispatch.entries import BadEntry, EntryFault
+from heronthread_dispatch.entries import EntryFault, InvalidEntry
 from heronthread_dispatch.executor_link import EndedRun, EndKind, Report
 from heronthread_dispatch.fleet import ExecutorState
 from heronthread_dispatch.intake import NotTaken, Unsettled
@@ -193,9 +193,9 @@
     """An entry without a state names an executor that is ready."""
     original = Directory._read
 
-    def read(self: Directory, executor_id: str, item: Item) -> Executor | BadEntry:
+    def read(self: Directory, executor_id: str, item: Item) -> Executor | InvalidEntry:
         found = original(self, executor_id, item)
-        if not isinstance(found, BadEntry) or found.fault is not EntryFault.MISSING_FIELD:
+        if not isinstance(found, InvalidEntry) or found.fault is not EntryFault.MISSING_FIELD:
             return found
         try:
             value = json.dumps(json.loads(item.value) | {"state": "ready"}).encode()
--- a/packages/heronthread-emulator/src/heronthread_emulator/site.py
+++ b/packages/heronthread-emulator/src/heronthread_emulator/site.py
@@ -11,8 +11,9 @@
 
 import trio
 from heronthread_dispatch.configuring import ConfigurationFormat
-from heronthread_dispatch.entries import BadEntry, DirectoryFormat, EntryFault
+from heronthread_dispatch.entries import DirectoryFormat, EntryFault, InvalidEntry
 from heronthread_dispatch.host import Host, HostParts, HostSettings
+from heronthread_dispatch.host_lease import Strength
 from heronthread_dispatch.intake import IntakeOutcome
 from heronthread_dispatch.model import (
     ApprovalTerms,
@@ -30,7 +31,6 @@
 from heronthread_dispatch.peer import PeerUnreachable
 from heronthread_dispatch.policy import DEFAULT_POLICY, Policy
 from heronthread_dispatch.record import MALFORMED, JobRecord, JobStatus
-from heronthread_dispatch.tenure import Strength
 from heronthread_dispatch.wire.ttypes import Frame
 
 from .approver import EmulatedApprover
@@ -78,12 +78,12 @@
     return make_state(value["version"], value["guaranteed"], value.get("pools", ()))
 
 
-def parse_entry(executor_id: str, data: bytes) -> Executor | BadEntry:
+def parse_entry(executor_id: str, data: bytes) -> Executor | InvalidEntry:
     """Return the executor that an emulated entry names, or why it names none."""
     try:
         value = json.loads(data)
         if value["state"] not in ENTRY_STATES:
-            return BadEntry(EntryFault.UNKNOWN_STATE)
+            return InvalidEntry(EntryFault.UNKNOWN_STATE)
         return Executor(
             executor_id,
             value.get("address", executor_id),
@@ -96,9 +96,9 @@
             value["born"],
         )
     except KeyError as error:
-        return BadEntry(EntryFault.MISSING_FIELD, str(error))
+        return InvalidEntry(EntryFault.MISSING_FIELD, str(error))
     except MALFORMED as error:
-        return BadEntry(EntryFault.UNREADABLE, repr(error))
+        return InvalidEntry(EntryFault.UNREADABLE, repr(error))
 
 
 def _write_entry(executor: Executor) -> bytes:
--- a/packages/heronthread-emulator/src/heronthread_emulator/spelling.py
+++ b/packages/heronthread-emulator/src/heronthread_emulator/spelling.py
@@ -17,7 +17,7 @@
     StartOrder,
     StopOrder,
 )
-from heronthread_dispatch.keystore import Gone, Item, Put, Transaction
+from heronthread_dispatch.keystore import Item, KeyRemoved, Put, Transaction
 from heronthread_dispatch.model import DesiredState, Executor, Resources, Schedule, TaskKey
 
 from .executors import WorkSpec
@@ -249,9 +249,9 @@
     }
 
 
-def write_event(event: Item | Gone) -> dict[str, Any]:
+def write_event(event: Item | KeyRemoved) -> dict[str, Any]:
     """Return one change of the store."""
-    if isinstance(event, Gone):
+    if isinstance(event, KeyRemoved):
         return {"tls-key": event.key, "revision": event.revision, "gone": True}
     return write_item(event)
 
--- a/packages/heronthread-emulator/src/heronthread_emulator/standing_site.py
+++ b/packages/heronthread-emulator/src/heronthread_emulator/standing_site.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import trio
-from heronthread_dispatch.entries import BadEntry
+from heronthread_dispatch.entries import InvalidEntry
 from heronthread_dispatch.model import Life, TaskKey
 from heronthread_dispatch.record import ProgressRecord, decode_progress
 from heronthread_dispatch.recorder import progress_key
@@ -101,7 +101,7 @@
             return False
         item = self.site.store.items.get(ENTRIES + place.executor.id)
         entry = parse_entry(place.executor.id, item.value) if item is not None else None
-        if entry is None or isinstance(entry, BadEntry) or entry.born != place.executor.born:
+        if entry is None or isinstance(entry, InvalidEntry) or entry.born != place.executor.born:
             return False
         return entry.pool == place.executor.pool and not entry.is_draining
 
--- a/packages/heronthread-emulator/src/heronthread_emulator/store.py
+++ b/packages/heronthread-emulator/src/heronthread_emulator/store.py
@@ -9,14 +9,14 @@
 from heronthread_dispatch.keystore import (
     CommitOutcome,
     Committed,
+    ConditionFailed,
     Events,
-    Gone,
-    HistoryLost,
+    HistoryCompacted,
     Item,
+    KeyRemoved,
+    LeaseExpired,
     LeaseHeld,
-    LeaseOver,
     Listing,
-    Mismatch,
     Missing,
     ReadOutcome,
     Transaction,
@@ -42,7 +42,7 @@
 
     def __init__(self) -> None:
         self.items: dict[str, Item] = {}
-        self.history: list[Item | Gone] = []
+        self.history: list[Item | KeyRemoved] = []
         self.forgotten = 0
         self.revision = 0
         self.is_down = False
@@ -94,9 +94,9 @@
 
     def _remove(self, key: str) -> None:
         del self.items[key]
-        self._note(Gone(key, self.revision))
+        self._note(KeyRemoved(key, self.revision))
 
-    def _note(self, event: Item | Gone) -> None:
+    def _note(self, event: Item | KeyRemoved) -> None:
         self.history.append(event)
         self._changed.set()
         self._changed = trio.Event()
@@ -116,9 +116,9 @@
             item = self.items.get(key)
             if (item.revision if item else 0) != revision:
                 keys = [k for k, _ in transaction.conditions]
-                return Mismatch({k: self.items[k] for k in keys if k in self.items})
+                return ConditionFailed({k: self.items[k] for k in keys if k in self.items})
         if any(put.lease and put.lease not in self._leases for put in transaction.puts):
-            return LeaseOver()
+            return LeaseExpired()
         self.revision += 1
         for put in transaction.puts:
             self._put(put.key, put.value, put.lease)
@@ -134,15 +134,15 @@
         self._leases[number] = _Lease(duration_s, trio.current_time() + duration_s)
         return LeaseHeld(number, duration_s)
 
-    def renew(self, number: int) -> LeaseHeld | LeaseOver:
+    def renew(self, number: int) -> LeaseHeld | LeaseExpired:
         """Renew a lease."""
         lease = self._leases.get(number)
         if lease is None:
-            return LeaseOver()
+            return LeaseExpired()
         lease.ends_at = trio.current_time() + lease.duration_s
         return LeaseHeld(number, lease.duration_s)
 
-    def changes(self, prefix: str, after: int) -> list[Item | Gone]:
+    def changes(self, prefix: str, after: int) -> list[Item | KeyRemoved]:
         """Return what changed under a prefix after a revision."""
         return [e for e in self.history if e.revision > after and e.key.startswith(prefix)]
 
@@ -201,7 +201,7 @@
         ends_at = trio.current_time() + wait_s
         while True:
             if after < self.store.forgotten:
-                return HistoryLost()
+                return HistoryCompacted()
             events = self.store.changes(prefix, after)
             left = ends_at - trio.current_time()
             if events or left <= 0:
@@ -238,7 +238,7 @@
         failure = await self._reach()
         return failure if failure is not None else self.store.grant(duration_s)
 
-    async def renew(self, lease: int) -> LeaseHeld | LeaseOver | Unavailable | Unknown:
+    async def renew(self, lease: int) -> LeaseHeld | LeaseExpired | Unavailable | Unknown:
         """Renew a lease."""
         failure = await self._reach()
         return failure if failure is not None else self.store.renew(lease)
--- a/packages/heronthread-emulator/src/heronthread_emulator/store_server.py
+++ b/packages/heronthread-emulator/src/heronthread_emulator/store_server.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 import trio
-from heronthread_dispatch.keystore import Committed, Item, LeaseHeld, Mismatch, Transaction
+from heronthread_dispatch.keystore import Committed, ConditionFailed, Item, LeaseHeld, Transaction
 
 from . import spelling
 from .addresses import EXECUTORS_FACE
@@ -150,7 +150,7 @@
         outcome = self.store.commit(transaction)
         if isinstance(outcome, Committed):
             return Response(200, {"revision": outcome.revision})
-        if isinstance(outcome, Mismatch):
+        if isinstance(outcome, ConditionFailed):
             items = [self._show(face, item) for item in outcome.items.values()]
             return Response(412, {"items": items})
         return Response(404)
--- a/packages/heronthread-emulator/tests/test_executor_server.py
+++ b/packages/heronthread-emulator/tests/test_executor_server.py
@@ -6,14 +6,14 @@
 import pytest
 import trio
 from heronthread_dispatch.executor_link import (
+    Acknowledged,
     HoldOrder,
-    Obeyed,
-    OtherLife,
+    InstanceEnded,
+    NoAnswer,
     Refusal,
     Refused,
     StartOrder,
     StopOrder,
-    Unanswered,
     Unhealthy,
 )
 from heronthread_dispatch.http_client import HttpClient
@@ -75,7 +75,7 @@
 
 
 async def test_task_runs_to_its_end(site):
-    assert await site.start(text=SHORT) == Obeyed()
+    assert await site.start(text=SHORT) == Acknowledged()
     await _until(lambda: site.lines("executor.done"))
     (line,) = site.lines("executor.start")
     assert (line["job"], line["run"], line["late"]) == (TASK.job, 1, False)
@@ -87,7 +87,7 @@
     executor = site.life.executor
     await site.server.crash({"executor": 0, "after_s": 0.0})
     order = StopOrder(TASK, 1, 1)
-    assert await site.link.stop(executor, order) == OtherLife()
+    assert await site.link.stop(executor, order) == InstanceEnded()
     assert site.life.executor.id != executor.id
 
 
@@ -99,7 +99,7 @@
 async def test_run_that_was_stopped_is_refused(site):
     await site.link.stop(site.life.executor, StopOrder(TASK, 3, 1))
     assert await site.start(run=3) == Refused(Refusal.OLD_RUN)
-    assert await site.start(run=4) == Obeyed()
+    assert await site.start(run=4) == Acknowledged()
 
 
 async def test_lower_run_that_comes_late_runs_beside_a_higher_one(site):
@@ -111,7 +111,7 @@
 async def test_unanswered_order_is_carried_out_late(site):
     faults = {"unanswered_share": 1.0, "late_from_s": 0.9, "late_to_s": 1.0}
     await site.server.set_faults({"executors": [0], "set": faults})
-    assert isinstance(await site.start(), Unanswered)
+    assert isinstance(await site.start(), NoAnswer)
     assert site.lines("executor.start") == []
     await _until(lambda: site.lines("executor.start"))
     assert site.lines("executor.start")[0]["late"]
@@ -122,7 +122,7 @@
     assert await site.start() == Unhealthy()
     faults = {"refused_share": 0.0, "reset_share": 1.0}
     await site.server.set_faults({"executors": [0], "set": faults})
-    assert isinstance(await site.start(), Unanswered)
+    assert isinstance(await site.start(), NoAnswer)
     await site.server.mend({})
     assert site.lines("executor.start") == []
 
@@ -131,7 +131,7 @@
     await site.start()
     await site.server.set_faults({"executors": [0], "set": {"silent": True}})
     order = HoldOrder(1, 0, None, 0.0)
-    assert isinstance(await site.link.hold(site.life.executor, order), Unanswered)
+    assert isinstance(await site.link.hold(site.life.executor, order), NoAnswer)
     assert site.life.running
 
 
@@ -171,20 +171,20 @@
     await _until(lambda: key in site.store.items)
     await site.server.places[0].remove_entry()
     assert key not in site.store.items
-    assert await site.start() == Obeyed()
+    assert await site.start() == Acknowledged()
 
 
 async def test_task_that_crashes_its_executor(site, monkeypatch):
     monkeypatch.setattr("heronthread_emulator.executor_server.BACK_AFTER_S", 0.3)
     await site.server.set_crashing({"jobs": [TASK.job], "after_s": 0.0})
     first = site.life
-    assert await site.start() == Obeyed()
+    assert await site.start() == Acknowledged()
     while not first.is_gone:
         await trio.sleep(0.01)
-    assert isinstance(await site.link.hold(first.executor, HoldOrder(1, 0, None, 0.0)), Unanswered)
+    assert isinstance(await site.link.hold(first.executor, HoldOrder(1, 0, None, 0.0)), NoAnswer)
     while site.life is first:
         await trio.sleep(0.01)
-    assert await site.link.hold(first.executor, HoldOrder(1, 0, None, 0.0)) == OtherLife()
+    assert await site.link.hold(first.executor, HoldOrder(1, 0, None, 0.0)) == InstanceEnded()
 
 
 async def test_lost_executor_takes_no_call_until_another_life_is_there(site):
@@ -192,15 +192,15 @@
     lost = site.life
     await site.server.lose({"executors": [0], "after_s": 1.0})
     await _until(lambda: site.lines("executor.gone"))
-    assert isinstance(await site.start(run=2), Unanswered | Unhealthy)
+    assert isinstance(await site.start(run=2), NoAnswer | Unhealthy)
     assert site.life is lost
     await _until(lambda: site.life is not lost)
-    assert await site.start(run=2) == Obeyed()
+    assert await site.start(run=2) == Acknowledged()
 
 
 async def test_room_that_is_not_guarded_is_written_down_when_it_is_overrun(site):
     await site.server.resize({"executor": 0, "share": 0.0})
-    assert await site.start() == Obeyed()
+    assert await site.start() == Acknowledged()
     assert len(site.lines("executor.overfull")) == 1
 
 
--- a/packages/heronthread-emulator/tests/test_spelling.py
+++ b/packages/heronthread-emulator/tests/test_spelling.py
@@ -4,11 +4,11 @@
 
 import pytest
 from heronthread_dispatch.executor_link import (
+    Acknowledged,
     EndedRun,
     EndKind,
     HoldOrder,
-    Obeyed,
-    OtherLife,
+    InstanceEnded,
     Refusal,
     Refused,
     Report,
@@ -56,7 +56,7 @@
     assert request.path == spelling.START_PATH
     assert request.headers[spelling.LIFE_HEADER] == "e1-1"
     assert spelling.read_start(request.read_json()) == order
-    assert outcome == Obeyed()
+    assert outcome == Acknowledged()
 
 
 async def test_stop_is_read_as_it_was_given(nursery):
@@ -64,7 +64,7 @@
     request, outcome = await _send(nursery, Response(421), order)
     assert request.path == spelling.STOP_PATH
     assert spelling.read_stop(request.read_json()) == order
-    assert outcome == OtherLife()
+    assert outcome == InstanceEnded()
 
 
 async def test_report_is_read_as_it_was_written(nursery):
--- a/packages/heronthread-emulator/tests/test_store_server.py
+++ b/packages/heronthread-emulator/tests/test_store_server.py
@@ -8,13 +8,13 @@
 from heronthread_dispatch.http_client import HttpClient
 from heronthread_dispatch.keystore import (
     Committed,
+    ConditionFailed,
     Events,
-    Gone,
-    HistoryLost,
+    HistoryCompacted,
+    KeyRemoved,
+    LeaseExpired,
     LeaseHeld,
-    LeaseOver,
     Listing,
-    Mismatch,
     Missing,
     Put,
     Transaction,
@@ -60,11 +60,11 @@
     listing = await store.list("")
     assert isinstance(listing, Listing)
     assert [found.key for found in listing.items] == ["a"]
-    assert isinstance(await store.commit(PUT), Mismatch)
+    assert isinstance(await store.commit(PUT), ConditionFailed)
     await store.commit(Transaction((), (), ("a",)))
     events = await store.watch("", 0, 0.0)
     assert isinstance(events, Events)
-    assert [type(event) for event in events.events] == [type(item), Gone]
+    assert [type(event) for event in events.events] == [type(item), KeyRemoved]
 
 
 async def test_lease_takes_its_keys_with_it(site):
@@ -74,9 +74,9 @@
     await views[0].commit(Transaction((), (Put("b", b"", held.lease),)))
     await views[0].revoke(held.lease)
     assert await views[0].read("b") == Missing()
-    assert await views[0].renew(held.lease) == LeaseOver()
+    assert await views[0].renew(held.lease) == LeaseExpired()
     late = Transaction((), (Put("b", b"", held.lease),))
-    assert await views[0].commit(late) == LeaseOver()
+    assert await views[0].commit(late) == LeaseExpired()
 
 
 async def test_hosts_may_not_write_what_is_others(site):
@@ -91,7 +91,7 @@
     server, views = site
     await views[0].commit(PUT)
     await server.forget_history({})
-    assert await views[0].watch("", 0, 0.0) == HistoryLost()
+    assert await views[0].watch("", 0, 0.0) == HistoryCompacted()
 
 
 async def test_store_turns_some_hosts_away(site):
--- a/tests/platform/test_approver.py
+++ b/tests/platform/test_approver.py
@@ -1,6 +1,6 @@
 import pytest
 from heronthread_dispatch.approval import Approved, Question
-from heronthread_dispatch.executor_link import Unanswered
+from heronthread_dispatch.executor_link import NoAnswer
 from heronthread_dispatch.http_client import HttpClient
 from heronthread_dispatch.model import ApprovalTerms, Life, TaskKey
 from heronthread_platform.approver import PlatformApprover
@@ -32,7 +32,7 @@
     async with run_scripted_server(lambda request: reply) as server:
         with HttpClient() as client:
             found = await PlatformApprover(client, server.address).ask(QUESTION)
-    assert isinstance(found, Unanswered)
+    assert isinstance(found, NoAnswer)
 
 
 def test_approval_terms_are_read_from_the_configuration() -> None:
--- a/tests/platform/test_callers.py
+++ b/tests/platform/test_callers.py
@@ -6,7 +6,7 @@
 
 import pytest
 import trio
-from heronthread_dispatch.intake import COME_BACK_S
+from heronthread_dispatch.intake import DEFAULT_RETRY_AFTER_S
 from heronthread_dispatch.model import DesiredState, Queue, Tenant
 from heronthread_emulator import EmulatedSite
 from heronthread_platform.callers import make_app
@@ -122,4 +122,4 @@
         await trio.sleep(2.0)
         response = await call_app(client.app, "POST", PATH, HEADERS, data=json.dumps(JOB))
         assert response.status == 503
-        assert int(response.headers["retry-after"]) == math.ceil(COME_BACK_S)
+        assert int(response.headers["retry-after"]) == math.ceil(DEFAULT_RETRY_AFTER_S)
--- a/tests/platform/test_entries.py
+++ b/tests/platform/test_entries.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 import pytest
-from heronthread_dispatch.entries import BadEntry, EntryFault
+from heronthread_dispatch.entries import EntryFault, InvalidEntry
 from heronthread_dispatch.model import Executor, Resources
 from heronthread_emulator import spelling
 from heronthread_platform.entries import EntryParser
@@ -27,7 +27,7 @@
 )
 
 
-def _parse(data: bytes) -> Executor | BadEntry:
+def _parse(data: bytes) -> Executor | InvalidEntry:
     return EntryParser(DOMAINS).parse("i-1", data)
 
 
@@ -41,7 +41,7 @@
 
 @pytest.mark.parametrize("name", [name for name in FOREIGN if name not in CHECKED_BY_THE_DIRECTORY])
 def test_foreign_entry_is_rejected(name: str) -> None:
-    assert isinstance(_parse(FOREIGN[name]), BadEntry)
+    assert isinstance(_parse(FOREIGN[name]), InvalidEntry)
 
 
 def test_entry_without_born_has_start_time_zero() -> None:
@@ -57,30 +57,30 @@
 @pytest.mark.parametrize(
     ("name", "expected"),
     [
-        ("no text", BadEntry(EntryFault.UNREADABLE)),
-        ("a list", BadEntry(EntryFault.WRONG_TYPE, "entry")),
-        ("without state", BadEntry(EntryFault.MISSING_FIELD, "state")),
-        ("without gpus", BadEntry(EntryFault.MISSING_FIELD, "capacity.gpus")),
-        ("state 'paused'", BadEntry(EntryFault.UNKNOWN_STATE)),
-        ("slots '8'", BadEntry(EntryFault.WRONG_TYPE, "slots")),
-        ("slots -3", BadEntry(EntryFault.WRONG_VALUE, "slots")),
-        ("zone 'nowhere'", BadEntry(EntryFault.UNKNOWN_DOMAIN, "nowhere")),
-        ("born 'x'", BadEntry(EntryFault.WRONG_TYPE, "born")),
-        ("born None", BadEntry(EntryFault.WRONG_TYPE, "born")),
-        ("born True", BadEntry(EntryFault.WRONG_TYPE, "born")),
-        ("born 3.5", BadEntry(EntryFault.WRONG_TYPE, "born")),
-        ("born -1", BadEntry(EntryFault.WRONG_VALUE, "born")),
-        ("state 'draining'", BadEntry(EntryFault.MISSING_FIELD, "remaining-ms")),
+        ("no text", InvalidEntry(EntryFault.UNREADABLE)),
+        ("a list", InvalidEntry(EntryFault.WRONG_TYPE, "entry")),
+        ("without state", InvalidEntry(EntryFault.MISSING_FIELD, "state")),
+        ("without gpus", InvalidEntry(EntryFault.MISSING_FIELD, "capacity.gpus")),
+        ("state 'paused'", InvalidEntry(EntryFault.UNKNOWN_STATE)),
+        ("slots '8'", InvalidEntry(EntryFault.WRONG_TYPE, "slots")),
+        ("slots -3", InvalidEntry(EntryFault.WRONG_VALUE, "slots")),
+        ("zone 'nowhere'", InvalidEntry(EntryFault.UNKNOWN_DOMAIN, "nowhere")),
+        ("born 'x'", InvalidEntry(EntryFault.WRONG_TYPE, "born")),
+        ("born None", InvalidEntry(EntryFault.WRONG_TYPE, "born")),
+        ("born True", InvalidEntry(EntryFault.WRONG_TYPE, "born")),
+        ("born 3.5", InvalidEntry(EntryFault.WRONG_TYPE, "born")),
+        ("born -1", InvalidEntry(EntryFault.WRONG_VALUE, "born")),
+        ("state 'draining'", InvalidEntry(EntryFault.MISSING_FIELD, "remaining-ms")),
     ],
 )
-def test_invalid_entry_has_its_fault(name: str, expected: BadEntry) -> None:
+def test_invalid_entry_has_its_fault(name: str, expected: InvalidEntry) -> None:
     assert _parse(FOREIGN[name]) == expected
 
 
 @pytest.mark.parametrize("executor_id", ["", "i-1/more"])
 def test_invalid_executor_id_is_rejected(executor_id: str) -> None:
     found = EntryParser(DOMAINS).parse(executor_id, GOOD)
-    assert found == BadEntry(EntryFault.WRONG_VALUE, "id")
+    assert found == InvalidEntry(EntryFault.WRONG_VALUE, "id")
 
 
 def test_unknown_fields_are_ignored() -> None:
@@ -97,7 +97,7 @@
 @given(st.sampled_from(sorted(json.loads(GOOD))), VALUES)
 def test_entry_with_any_field_value_is_parsed_or_rejected(field: str, value: Any) -> None:
     found = _parse(json.dumps(json.loads(GOOD) | {field: value}).encode())
-    assert isinstance(found, Executor | BadEntry)
+    assert isinstance(found, Executor | InvalidEntry)
     if isinstance(found, Executor):
         assert type(value) is type(json.loads(GOOD)[field]) or isinstance(value, float)
 
@@ -105,7 +105,7 @@
 @DETERMINISTIC
 @given(st.integers(0, len(GOOD) - 1), st.binary(max_size=3))
 def test_entry_with_corrupted_bytes_is_parsed_or_rejected(at: int, put: bytes) -> None:
-    assert isinstance(_parse(GOOD[:at] + put + GOOD[at + 1 :]), Executor | BadEntry)
+    assert isinstance(_parse(GOOD[:at] + put + GOOD[at + 1 :]), Executor | InvalidEntry)
 
 
 @pytest.mark.parametrize(
@@ -123,7 +123,7 @@
 )
 def test_entry_with_invalid_capacity_is_rejected(capacity: object) -> None:
     value = json.loads(GOOD) | {"capacity": capacity}
-    assert isinstance(_parse(json.dumps(value).encode()), BadEntry)
+    assert isinstance(_parse(json.dumps(value).encode()), InvalidEntry)
 
 
 def test_draining_executor_has_remaining_time() -> None:
--- a/tests/platform/test_executors.py
+++ b/tests/platform/test_executors.py
@@ -1,15 +1,15 @@
 import pytest
 from heronthread_dispatch.executor_link import (
+    Acknowledged,
     EndKind,
     HoldOrder,
-    Obeyed,
-    OtherLife,
+    InstanceEnded,
+    NoAnswer,
     Refusal,
     Refused,
     Report,
     StartOrder,
     StopOrder,
-    Unanswered,
     Unhealthy,
 )
 from heronthread_dispatch.http_client import HttpClient
@@ -36,7 +36,7 @@
         with HttpClient() as client:
             link = PlatformExecutorLink(client)
             executor, task = _executor(server.address), TASK._replace(occurrence=3)
-            assert await link.stop(executor, StopOrder(task, 2, 7)) == Obeyed()
+            assert await link.stop(executor, StopOrder(task, 2, 7)) == Acknowledged()
         with HttpClient() as client:
             server.respond = lambda request: (200, {"clock-ms": 5, "running": [[name, 2, "", 41]]})
             report = await PlatformExecutorLink(client).hold(executor, HoldOrder(7, 0, None, 0.0))
@@ -52,7 +52,7 @@
         with HttpClient() as client:
             link = PlatformExecutorLink(client)
             order = StartOrder(TASK, 2, "text", "00ff", 7, 486000)
-            assert await link.start(_executor(server.address), order) == Obeyed()
+            assert await link.start(_executor(server.address), order) == Acknowledged()
         request = server.requests[0]
         assert (request.method, request.target) == ("POST", "/heronthread/run-start")
         assert request.headers["expected-instance"] == "i-1"
@@ -75,7 +75,7 @@
         (409, {"clock-ms": 5, "reason": "room"}, Refused(Refusal.NO_ROOM)),
         (409, {"clock-ms": 5, "reason": "ticket"}, Refused(Refusal.NOT_APPROVED)),
         (409, {"clock-ms": 5, "reason": "some new one"}, Refused(Refusal.OTHER)),
-        (421, {}, OtherLife()),
+        (421, {}, InstanceEnded()),
         (429, {}, Unhealthy()),
         (503, {}, Unhealthy()),
     ],
@@ -94,7 +94,7 @@
         with HttpClient() as client:
             link = PlatformExecutorLink(client)
             outcome = await link.stop(_executor(server.address), StopOrder(TASK, 2, 7))
-            assert isinstance(outcome, Unanswered)
+            assert isinstance(outcome, NoAnswer)
             assert not outcome.unsent
 
 
--- a/tests/platform/test_fuzz.py
+++ b/tests/platform/test_fuzz.py
@@ -4,18 +4,25 @@
 from typing import Any
 
 import trio
-from heronthread_dispatch.entries import BadEntry
+from heronthread_dispatch.entries import InvalidEntry
 from heronthread_dispatch.executor_link import (
+    Acknowledged,
     HoldOrder,
-    Obeyed,
-    OtherLife,
+    InstanceEnded,
+    NoAnswer,
     Refused,
     Report,
-    Unanswered,
     Unhealthy,
 )
 from heronthread_dispatch.http_client import HttpClient, Reply
-from heronthread_dispatch.keystore import Events, HistoryLost, Item, Listing, Missing, Transaction
+from heronthread_dispatch.keystore import (
+    Events,
+    HistoryCompacted,
+    Item,
+    Listing,
+    Missing,
+    Transaction,
+)
 from heronthread_dispatch.model import DesiredState, Executor, Resources
 from heronthread_platform.configuration import ConfigurationParser
 from heronthread_platform.entries import EntryParser
@@ -87,7 +94,7 @@
     assert ConfigurationParser().parse(data) is None or isinstance(
         ConfigurationParser().parse(data), DesiredState
     )
-    assert isinstance(EntryParser().parse("i-1", data), BadEntry)
+    assert isinstance(EntryParser().parse("i-1", data), InvalidEntry)
 
 
 @DETERMINISTIC
@@ -101,7 +108,7 @@
 @given(ENTRY | VALUES)
 def test_any_entry_is_parsed_or_rejected(value: object) -> None:
     found = EntryParser().parse("i-1", _encode(value))
-    assert isinstance(found, Executor | BadEntry)
+    assert isinstance(found, Executor | InvalidEntry)
 
 
 @DETERMINISTIC
@@ -110,7 +117,9 @@
     link = PlatformExecutorLink(_FixedClient(status, _encode(value)))
     executor = Executor("i-1", "a", "p", "", "", (), Resources())
     outcome = trio.run(link.hold, executor, HoldOrder(1, 0, None, 0.0))
-    assert isinstance(outcome, Report | Refused | Unhealthy | OtherLife | Unanswered | Obeyed)
+    assert isinstance(
+        outcome, Report | Refused | Unhealthy | InstanceEnded | NoAnswer | Acknowledged
+    )
 
 
 @DETERMINISTIC
@@ -124,7 +133,7 @@
         listed = await store.list("p")
         assert isinstance(listed, Listing) or listed.reason
         watched = await store.watch("p", 1, 0.1)
-        assert isinstance(watched, Events | HistoryLost) or watched.reason
+        assert isinstance(watched, Events | HistoryCompacted) or watched.reason
         assert await store.commit(Transaction()) is not None
         assert await store.grant(1.0) is not None
         assert await store.renew(1) is not None
