--- a/packages/heronthread-dispatch/src/heronthread_dispatch/owned_cell.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/owned_cell.py
@@ -16,6 +16,7 @@
 from .events import describe_run, log_event
 from .executor_link import EndedRun, EndKind, ExecutorLink
 from .fleet import MAX_BACKOFF_S, ExecutorState
+from .host_lease import Term
 from .keystore import KeyStore
 from .late_starts import MAX_ORDER_DELAY_S, LateStarts
 from .model import NO_RESOURCES, DesiredState, TaskKey, UnresolvedStart
@@ -36,7 +37,6 @@
 from .stalls import StallHistory
 from .statistics import Statistics
 from .task_masks import TaskMasks, keep, unite
-from .tenure import Term
 from .uncertainty import Deadlines, is_sole_instance, list_lapsed, list_uncertain
 
 JOB_PREFIX = "job/"
--- a/packages/heronthread-emulator/src/heronthread_emulator/approver.py
+++ b/packages/heronthread-emulator/src/heronthread_emulator/approver.py
@@ -7,7 +7,7 @@
 
 import trio
 from heronthread_dispatch.approval import ApprovalReply, ApprovalRequest
-from heronthread_dispatch.executor_link import Unanswered
+from heronthread_dispatch.executor_link import NoAnswer
 from heronthread_dispatch.model import ExecutorInstance, TaskKey
 
 
@@ -25,14 +25,14 @@
     find_born: Callable[[str], int] = lambda executor: 0
     _expires: dict[str, float] = field(default_factory=dict)
 
-    async def ask(self, approval_request: ApprovalRequest) -> ApprovalReply | Unanswered:
+    async def ask(self, approval_request: ApprovalRequest) -> ApprovalReply | NoAnswer:
         """Answer after the time that the terms say."""
         self.approval_requests.append(approval_request)
         terms = approval_request.terms
         await trio.sleep(terms.decision_s + terms.each_s * len(approval_request.executors))
         if self.fail_next > 0:
             self.fail_next -= 1
-            return Unanswered("lost")
+            return NoAnswer("lost")
         tickets = {}
         for executor in approval_request.executors:
             if executor in self.healthy:
