--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -29,7 +29,7 @@
 from heronthread_cli.table import format_table
 from heronthread_coordination import MemoryStore
 from heronthread_daemon import Host, HostParts, Settings
-from heronthread_daemon.hostlist import StandinHostList
+from heronthread_daemon.host_list import StandinHostList
 from heronthread_daemon.settings import LimitsModel, TimesModel
 from heronthread_daemon.worker_http import HttpWorkers
 from heronthread_dispatch.peer import PeerUnreachable, encode
@@ -395,7 +395,7 @@
     while trio.current_time() < deadline:
         await trio.sleep(0.5)
         owners = list(host.owners.values())
-        started = [a for o in owners for a in o.attempts.values() if a.went]
+        started = [a for o in owners for a in o.attempts.values() if a.go_sent]
         if owners and owners[0].ready.is_set() and len(started) >= wanted:
             return
 
--- a/benchmarks/cluster.py
+++ b/benchmarks/cluster.py
@@ -12,9 +12,9 @@
 from heronthread_coordination.store import Entry, ReadOutcome, WriteOutcome
 from heronthread_daemon import Host, HostParts, Settings
 from heronthread_daemon.api import make_app
-from heronthread_daemon.hostlist import StandinHostList
+from heronthread_daemon.host_list import StandinHostList
 from heronthread_daemon.settings import TimesModel
-from heronthread_daemon.standin import make_workers
+from heronthread_daemon.standin import make_standin_workers
 from heronthread_daemon.worker import Exchange, ExchangeOutcome, Unreachable, WorkerReply
 from heronthread_dispatch.peer import LENGTH_BYTES, PeerUnreachable, decode, encode
 from heronthread_dispatch.wire.ttypes import Frame
@@ -201,7 +201,7 @@
         self.source = random.Random(seed)
         self.network = Network(random.Random(seed + 1))
         self.store = MemoryStore()
-        self.workers = make_workers(state)
+        self.workers = make_standin_workers(state)
         self.host_list = StandinHostList()
         self.names = names
         self.hosts: dict[str, RunningHost] = {}
--- a/benchmarks/plants.py
+++ b/benchmarks/plants.py
@@ -70,12 +70,12 @@
 
 def _epoch_not_compared() -> list[Patch]:
     """A new owner trusts a silent claim at once, whatever its workers say."""
-    return [(takeover, "_vouches", lambda owner, claim, worker: True)]
+    return [(takeover, "_confirms_never_ran", lambda owner, claim, worker: True)]
 
 
 def _without_last_member() -> list[Patch]:
     """The last worker of a gang is not told to go."""
-    original = gang_start._on_all
+    original = gang_start._send_to_all
 
     async def on_all(attempt: Attempt, links: Any, make_commands: Any) -> Any:
         names = sorted(attempt.members_on)
@@ -87,7 +87,7 @@
             return await original(short, links, make_commands)
         return await original(attempt, links, make_commands)
 
-    return [(gang_start, "_on_all", on_all)]
+    return [(gang_start, "_send_to_all", on_all)]
 
 
 def _answers_by_arrival() -> list[Patch]:
@@ -113,7 +113,7 @@
         outcome = await original(self, model)
         owned = self.jobs.get(model.job_id)
         if isinstance(outcome, JobView) and owned and owned.state is JobState.STARTING:
-            owned.move(JobState.NOT_RUN, cause="deadline", reason="given up")
+            owned.set_state(JobState.NOT_RUN, cause="deadline", reason="given up")
             return self.view(owned)
         return outcome
 
--- a/packages/heronthread-cli/src/heronthread_cli/demo.py
+++ b/packages/heronthread-cli/src/heronthread_cli/demo.py
@@ -24,10 +24,10 @@
 from heronthread_coordination import Member
 from heronthread_coordination.memory import MemoryStore
 from heronthread_daemon import Host, Settings, run_server
-from heronthread_daemon.hostlist import StandinHostList
+from heronthread_daemon.host_list import StandinHostList
 from heronthread_daemon.server import make_config
 from heronthread_daemon.settings import LimitsModel, TimesModel
-from heronthread_daemon.standin import make_app, make_workers
+from heronthread_daemon.standin import make_app, make_standin_workers
 from heronthread_scheduling import DesiredState, Pool, build_cells
 from hypercorn.trio import serve
 
@@ -143,7 +143,7 @@
 
 async def _serve_standins(nursery: trio.Nursery, state: DesiredState, hosts: int) -> str:
     host_list = StandinHostList()
-    app = make_app(MemoryStore(), make_workers(state), host_list)
+    app = make_app(MemoryStore(), make_standin_workers(state), host_list)
     address = _free_address()
     host_list.set_hosts(
         tuple(Member(f"host-{i + 1}", a) for i, a in enumerate(_peer_addresses(hosts)))
--- a/packages/heronthread-daemon/src/heronthread_daemon/attempt.py
+++ b/packages/heronthread-daemon/src/heronthread_daemon/attempt.py
@@ -21,7 +21,7 @@
 class Attempt:
     """The members of a gang by worker, and the state of each member.
 
-    `went` is set once a GO command may have reached a worker, so the job may have run.
+    `go_sent` is set once a GO command may have reached a worker, so the job may have run.
     `stopped` holds members that stopped or failed; `lost`, those on lost or restarted workers;
     `reported_running`, those that their workers reported as running.
     """
@@ -30,7 +30,7 @@
     gang: Gang
     members_on: dict[str, tuple[int, ...]]
     stop_reason: StopReason | None = None
-    went: bool = False
+    go_sent: bool = False
     done: set[int] = field(default_factory=set)
     stopped: set[int] = field(default_factory=set)
     lost: set[int] = field(default_factory=set)
--- a/packages/heronthread-daemon/src/heronthread_daemon/gang_start.py
+++ b/packages/heronthread-daemon/src/heronthread_daemon/gang_start.py
@@ -51,12 +51,12 @@
     attempt: Attempt, job: OwnedJob, links: dict[str, WorkerLink], may_go: Callable[[], bool]
 ) -> Running | NotStarted | PartlyStarted:
     """Arm all members, then send GO to all workers unless `may_go` returns false."""
-    problem = await _on_all(attempt, links, lambda name: _arm_commands(attempt, job, name))
+    problem = await _send_to_all(attempt, links, lambda name: _arm_commands(attempt, job, name))
     if problem is not None:
         return NotStarted(*problem)
     if attempt.stop_reason is not None or not may_go():
         return NotStarted("", "the attempt was cancelled before GO")
-    attempt.went = True
+    attempt.go_sent = True
     is_single_worker = len(attempt.members_on) == 1
     go = Command(
         Verb.GO,
@@ -66,7 +66,7 @@
     )
     problem = ("", f"not all workers confirmed GO within {GO_TIMEOUT_S:g} s")
     with trio.move_on_after(float("inf") if is_single_worker else GO_TIMEOUT_S):
-        problem = await _on_all(attempt, links, lambda name: [go])
+        problem = await _send_to_all(attempt, links, lambda name: [go])
     return Running() if problem is None else PartlyStarted(*problem)
 
 
@@ -80,7 +80,7 @@
     attempt.is_stopping = True
     if checkpoint_s is not None:
         checkpoint = Command(Verb.CHECKPOINT, attempt.id, deadline_s=checkpoint_s)
-        await _on_all(attempt, links, lambda name: [checkpoint])
+        await _send_to_all(attempt, links, lambda name: [checkpoint])
         with trio.move_on_after(checkpoint_s):
             while not attempt.is_stopped:
                 await trio.sleep(min(STOP_RETRY_S, checkpoint_s) / 5)
@@ -120,7 +120,7 @@
     return [reserve, start]
 
 
-async def _on_all(
+async def _send_to_all(
     attempt: Attempt,
     links: dict[str, WorkerLink],
     make_commands: Callable[[str], list[Command]],
--- a/packages/heronthread-daemon/src/heronthread_daemon/host_state.py
+++ b/packages/heronthread-daemon/src/heronthread_daemon/host_state.py
@@ -20,7 +20,7 @@
 from heronthread_dispatch.wire.ttypes import CellView
 from heronthread_scheduling import CellSpec, DesiredState
 
-from .hostlist import HostList
+from .host_list import HostList
 from .owner import CellOwner
 from .settings import Settings
 from .worker import Workers
--- a/packages/heronthread-daemon/src/heronthread_daemon/job_record.py
+++ b/packages/heronthread-daemon/src/heronthread_daemon/job_record.py
@@ -91,7 +91,7 @@
         """Whether the state is final."""
         return self.state in FINAL
 
-    def move(self, state: JobState, *, cause: str = "", reason: str = "") -> None:
+    def set_state(self, state: JobState, *, cause: str = "", reason: str = "") -> None:
         """Change the state and wake the tasks that wait for `changed`."""
         self.state = state
         self.cause = cause
--- a/packages/heronthread-daemon/src/heronthread_daemon/launch.py
+++ b/packages/heronthread-daemon/src/heronthread_daemon/launch.py
@@ -25,7 +25,7 @@
     attempt = Attempt(attempt_id, gang, assign_members(gang, names))
     owner.attempts[attempt.id] = attempt
     owner.answers.open(attempt.id, attempt.size)
-    owned.move(JobState.STARTING)
+    owned.set_state(JobState.STARTING)
     return attempt
 
 
@@ -91,5 +91,5 @@
         owned.started_at = now
         owner.measure(owned, Measure.WAITING, now - owned.accepted_at)
     owner.measure(owned, Measure.START, now - decided_at)
-    owned.move(JobState.RUNNING)
+    owned.set_state(JobState.RUNNING)
     owner.log_state(owned, attempt=attempt.id)
--- a/packages/heronthread-daemon/src/heronthread_daemon/outcome.py
+++ b/packages/heronthread-daemon/src/heronthread_daemon/outcome.py
@@ -36,9 +36,9 @@
     if attempt.is_concluded:
         return
     owned = owner.close_attempt(attempt)
-    if owned.job.repeatable or not attempt.went:
+    if owned.job.repeatable or not attempt.go_sent:
         owner.spawn(_acknowledge, owner, owned)
-    if attempt.stop_reason is StopReason.CANCELLED and not attempt.went:
+    if attempt.stop_reason is StopReason.CANCELLED and not attempt.go_sent:
         text = "cancelled before it started"
         owner.spawn(conclude_not_run, owner, owned, "cancelled", text)
     elif attempt.stop_reason is StopReason.CANCELLED:
@@ -52,7 +52,7 @@
 
 
 def _may_run_again(attempt: Attempt, owned: OwnedJob) -> bool:
-    if owned.job.repeatable or not attempt.went:
+    if owned.job.repeatable or not attempt.go_sent:
         return True
     return attempt.stop_reason is StopReason.PREEMPTED and bool(owned.checkpoint)
 
@@ -72,7 +72,7 @@
         elapsed = owner.parts.clock() - owned.accepted_at
         owner.measure(owned, Measure.COMPLETION, elapsed)
     owned.durable = False
-    owned.move(state, cause=cause, reason=reason)
+    owned.set_state(state, cause=cause, reason=reason)
     owner.log_state(owned)
     owner.spawn(_record_and_acknowledge, owner, owned)
     owner.wake()
@@ -91,7 +91,7 @@
     owner.scheduler.finish(owned.job.id)
     owner.scheduler.forget(owned.job.id)
     owned.durable = True
-    owned.move(JobState.NOT_RUN, cause=cause, reason=reason)
+    owned.set_state(JobState.NOT_RUN, cause=cause, reason=reason)
     owner.log_state(owned)
 
 
--- a/packages/heronthread-daemon/src/heronthread_daemon/owned_cell.py
+++ b/packages/heronthread-daemon/src/heronthread_daemon/owned_cell.py
@@ -78,7 +78,7 @@
         """Requeue a job whose gang was stopped, with its original arrival time."""
         owned = self.jobs[job_id]
         self.scheduler.finish(job_id)
-        owned.move(JobState.WAITING)
+        owned.set_state(JobState.WAITING)
         self.log_state(owned)
         self.scheduler.requeue(owned.job, self.parts.clock())
         self.wake()
--- a/packages/heronthread-daemon/src/heronthread_daemon/owner.py
+++ b/packages/heronthread-daemon/src/heronthread_daemon/owner.py
@@ -118,7 +118,7 @@
             return None
         if owned.state is not JobState.IN_DOUBT:
             return Refusal(409, "not-in-doubt", f"the job is {owned.state}")
-        owned.move(state, cause="settled", reason=note)
+        owned.set_state(state, cause="settled", reason=note)
         await outcome.record(self, owned, DURABLE_WAIT_S)
         self.log_state(owned)
         return self.view(owned)
--- a/packages/heronthread-daemon/src/heronthread_daemon/release.py
+++ b/packages/heronthread-daemon/src/heronthread_daemon/release.py
@@ -63,7 +63,7 @@
     outcome = owner.scheduler.submit(item.job, now)
     if isinstance(outcome, NotRun):
         reason = outcome.reason
-        owned.move(JobState.NOT_RUN, cause=reason.cause.value, reason=reason.text)
+        owned.set_state(JobState.NOT_RUN, cause=reason.cause.value, reason=reason.text)
     else:
         assert isinstance(outcome, Accepted), "a new job id is never a duplicate"
     owner.log_state(owned)
--- a/packages/heronthread-daemon/src/heronthread_daemon/reports.py
+++ b/packages/heronthread-daemon/src/heronthread_daemon/reports.py
@@ -50,7 +50,7 @@
         attempt.stopped.add(task.member)
         if task.checkpoint and task.member == 0:
             owner.jobs[attempt.gang.job.id].checkpoint = task.checkpoint
-        if attempt.stop_reason is None and attempt.went:
+        if attempt.stop_reason is None and attempt.go_sent:
             outcome.end_attempt(owner, attempt, StopReason.MEMBER_FAILED)
     elif task.state is TaskState.FAILED:
         attempt.stopped.add(task.member)
@@ -76,7 +76,7 @@
     for attempt in list(owner.attempts.values()):
         members = set(attempt.members_on.get(worker, ()))
         unconfirmed = members - attempt.reported_running - attempt.done - attempt.stopped
-        if attempt.went and unconfirmed and attempt.stop_reason is None:
+        if attempt.go_sent and unconfirmed and attempt.stop_reason is None:
             outcome.end_attempt(owner, attempt, StopReason.MEMBER_FAILED)
 
 
--- a/packages/heronthread-daemon/src/heronthread_daemon/server.py
+++ b/packages/heronthread-daemon/src/heronthread_daemon/server.py
@@ -18,7 +18,7 @@
 
 from .api import make_app
 from .host import Host, HostParts
-from .hostlist import HttpHostList
+from .host_list import HttpHostList
 from .settings import Settings
 from .statistics import report_statistics
 from .store_http import HttpStore
--- a/packages/heronthread-daemon/src/heronthread_daemon/standin.py
+++ b/packages/heronthread-daemon/src/heronthread_daemon/standin.py
@@ -20,7 +20,7 @@
 from quart import Response, request
 from quart_trio import QuartTrio
 
-from .hostlist import StandinHostList
+from .host_list import StandinHostList
 from .server import make_config
 from .standin_worker import StandinWorkers
 from .store_http import RANGE, REVISION_HEADER
@@ -28,7 +28,7 @@
 from .worker_http import EXCHANGE, REPLY
 
 
-def make_workers(state: DesiredState) -> StandinWorkers:
+def make_standin_workers(state: DesiredState) -> StandinWorkers:
     """Return stand-ins for all declared workers."""
     units = {
         worker.name: {pool.value: worker.count(pool) for pool in Pool}
@@ -136,7 +136,7 @@
     members = tuple(Member(name, address) for name, address in listed)
     host_list = StandinHostList()
     host_list.set_hosts(members)
-    app = make_app(MemoryStore(), make_workers(state), host_list)
+    app = make_app(MemoryStore(), make_standin_workers(state), host_list)
     trio.run(serve, app, make_config(f"127.0.0.1:{port}"))
 
 
--- a/packages/heronthread-daemon/src/heronthread_daemon/takeover.py
+++ b/packages/heronthread-daemon/src/heronthread_daemon/takeover.py
@@ -82,7 +82,7 @@
 
     A worker that has not answered yet may hold the other members.
     """
-    owned.move(JobState.STARTING)
+    owned.set_state(JobState.STARTING)
     for link in list(owner.links.values()):
         await link.state_known.wait()
     whole = _collect(owner).get(item.attempt, item)
@@ -130,11 +130,11 @@
         members_on[worker] = (*members_on.get(worker, ()), member)
         places[number[worker]] = places.get(number[worker], 0) + task.units
     gang = Gang(owned.job, places, owner.parts.clock())
-    attempt = Attempt(item.attempt, gang, members_on, went=True)
+    attempt = Attempt(item.attempt, gang, members_on, go_sent=True)
     owner.attempts[attempt.id] = attempt
     owner.answers.open(attempt.id, attempt.size)
     owned.attempts = max(owned.attempts, int(item.attempt.rsplit(".", 1)[1]))
-    owned.move(JobState.RUNNING)
+    owned.set_state(JobState.RUNNING)
     owner.log("gang.adopted", job_id=owned.job.id, attempt=attempt.id)
     armed = {w for w, task in item.tasks.values() if task.state is TaskState.ARMED}
     for worker in sorted(armed):
@@ -171,10 +171,10 @@
 def _requeue(owner: OwnedCell, owned: OwnedJob) -> None:
     """Requeue a job that is not running; a claimed one only after its claim is resolved."""
     if owned.job.repeatable or owned.claim is None:
-        owned.move(JobState.WAITING)
+        owned.set_state(JobState.WAITING)
         owner.scheduler.queue.add(owned.job, owner.parts.clock(), arrival=owned.accepted_at)
     else:
-        owned.move(JobState.STARTING)
+        owned.set_state(JobState.STARTING)
         owner.spawn(_resolve_claim, owner, owned, owned.claim)
 
 
@@ -191,8 +191,8 @@
         link = owner.links.get(worker)
         if link is not None:
             await link.state_known.wait()
-    if all(_vouches(owner, claim, worker) for worker in claim.workers):
-        owned.move(JobState.WAITING)
+    if all(_confirms_never_ran(owner, claim, worker) for worker in claim.workers):
+        owned.set_state(JobState.WAITING)
         owner.scheduler.queue.add(owned.job, owner.parts.clock(), arrival=owned.accepted_at)
         owner.wake()
         return
@@ -200,7 +200,7 @@
     outcome.conclude(owner, owned, JobState.IN_DOUBT, "claim-unsettled", text)
 
 
-def _vouches(owner: OwnedCell, claim: Claim, worker: str) -> bool:
+def _confirms_never_ran(owner: OwnedCell, claim: Claim, worker: str) -> bool:
     """Return whether a worker confirms that it never ran a member of the claimed attempt."""
     link = owner.links.get(worker)
     if link is None or link.state is not LinkState.ALIVE or link.reply is None:
--- a/packages/heronthread-daemon/src/heronthread_daemon/worker_link.py
+++ b/packages/heronthread-daemon/src/heronthread_daemon/worker_link.py
@@ -196,17 +196,17 @@
         self.tasks.update({(task.attempt, task.member): task for task in reply.tasks})
         self.reply = reply
         if self.state is not LinkState.ALIVE:
-            self._move(LinkState.ALIVE)
+            self._set_state(LinkState.ALIVE)
 
     def _record_failure(self) -> None:
         silent_for = trio.current_time() - self._last_reply_at
         if silent_for >= self._times.task_lease_s:
             if self.state is not LinkState.LOST:
-                self._move(LinkState.LOST)
+                self._set_state(LinkState.LOST)
         elif self.state is LinkState.ALIVE:
-            self._move(LinkState.SILENT)
+            self._set_state(LinkState.SILENT)
 
-    def _move(self, state: LinkState) -> None:
+    def _set_state(self, state: LinkState) -> None:
         self.state = state
         self._on_state_change(self)
         if state in (LinkState.ALIVE, LinkState.LOST):
