--- a/packages/heronthread-dispatch/src/heronthread_dispatch/owned_cell.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/owned_cell.py
@@ -76,7 +76,7 @@
 
     `executor_lease_s` is the lease that an executor is asked for, `max_executor_lease_s` the
     longest one that it grants, and `stop_s` the time that a stop may take. `far_factor` is the
-    slowdown of a task away from its data, or of a same-rack gang that is spread over racks.
+    slowdown of a task away from its data, or of a one-rack gang that is spread over racks.
     `retention_s` is how long a final job is kept.
     """
 
