--- a/benchmarks/planning.py
+++ b/benchmarks/planning.py
@@ -1,7 +1,7 @@
 """What a plan costs by executors and waiting jobs, on states made from a seed.
 
 Run with `make bench-planning`. Times are processor time in milliseconds, the least of several
-rounds, of the plain planner (which the tests keep) and of the product's: `full`, where nothing
+rounds, of the reference planner (which the tests keep) and of the product's: `full`, where nothing
 waiting fits; `urgent`, where urgent gangs need others' room; `free`, where a third of the
 executors is empty.
 """
--- a/packages/heronthread-dispatch/src/heronthread_dispatch/directory.py
+++ b/packages/heronthread-dispatch/src/heronthread_dispatch/directory.py
@@ -99,8 +99,8 @@
         if isinstance(found, InvalidEntry):
             return found
         state = self._cell.executors.get(executor_id)
-        if state is not None and _names_another_life(state, found):
-            return _check_life(state, found)
+        if state is not None and _names_other_instance(state, found):
+            return _check_instance(state, found)
         if state is not None and _may_run_tasks(state):
             self._probe_other_address(state, found)
             return _check_location(state, found)
@@ -136,7 +136,7 @@
         state = self._cell.executors.get(executor.id)
         if state is None:
             self._add(executor, now)
-        elif _names_another_life(state, executor):
+        elif _names_other_instance(state, executor):
             self._await_later_life(state, executor)
         else:
             self._renew(state, executor, now)
@@ -241,7 +241,7 @@
     return state.has_reported or state.is_inherited or bool(state.list_held())
 
 
-def _names_another_life(state: ExecutorState, executor: Executor) -> bool:
+def _names_other_instance(state: ExecutorState, executor: Executor) -> bool:
     """Whether an entry names another instance than the one that reports under the id.
 
     False if no instance has reported yet, or if its reports lack a start time to compare.
@@ -249,7 +249,7 @@
     return state.has_reported and state.instance.born != 0 and executor.born != state.instance.born
 
 
-def _check_life(state: ExecutorState, executor: Executor) -> Executor | InvalidEntry:
+def _check_instance(state: ExecutorState, executor: Executor) -> Executor | InvalidEntry:
     """Return the executor if its instance is later than the one that reports, else the fault."""
     if not executor.born:
         return InvalidEntry(EntryFault.MISSING_FIELD, "born")
